--- a/pkg/gateway/allowance.go
+++ b/pkg/gateway/allowance.go
@@ -11,40 +11,42 @@
 )
 
 const (
-	// usesPeriod is the pause between two reports of what accounts ask, and levelPeriod that
-	// between two looks of the controller at them. A jump is told at once, risePause after the
-	// last one at the earliest.
-	usesPeriod  = 200 * time.Millisecond
-	levelPeriod = 100 * time.Millisecond
-	risePause   = 40 * time.Millisecond
+	// usageInterval is the minimum interval between two usage reports to the controller,
+	// levelInterval that between two evaluations by the controller. A rise in an account's rate
+	// is reported at once, at most every minRiseInterval.
+	usageInterval   = 200 * time.Millisecond
+	levelInterval   = 100 * time.Millisecond
+	minRiseInterval = 40 * time.Millisecond
 )
 
-// accounts keeps client accounts within what they may ask of all hosts. It implements
+// accounts enforces the rate limits of client accounts across all hosts. It implements
 // serve.Allowances and is safe for concurrent use.
 type accounts struct {
 	local *allowance.Local
 	now   func() time.Time
-	// want asks for a report at once.
-	want func()
-	// versions counts what this host was told.
-	versions atomic.Int64
+	// requestReport triggers a demand report.
+	requestReport func()
+	// levelsVersion is incremented each time new account levels are applied.
+	levelsVersion atomic.Int64
 
 	mu     sync.Mutex
 	sums   *allowance.Sums
 	levels *allowance.Levels
-	// reported and leveled are when this host last told what it sees, and last decided.
-	reported, leveled time.Time
-	// near holds the accounts of which the log was told; only levelAccounts uses it.
-	near map[string]bool
-	// rising is set until a jump was told, risen is when one was told last.
-	rising bool
-	risen  time.Time
+	// usageReported is when usage was last reported, levelsDecided when levels were last
+	// decided.
+	usageReported, levelsDecided time.Time
+	// logged holds the accounts last logged as near their limit; only updateAccountLevels uses
+	// it.
+	logged map[string]bool
+	// pendingRise is set until a rise has been reported; lastRise is when one was last
+	// reported.
+	pendingRise bool
+	lastRise    time.Time
 }
 
-// newAccounts returns accounts without use.
 func newAccounts(t allowance.Tolerance, want func(), now func() time.Time) *accounts {
-	a := &accounts{now: now, want: want, sums: allowance.NewSums(), levels: allowance.NewLevels(t)}
-	a.local = allowance.NewLocal(a.rise)
+	a := &accounts{now: now, requestReport: want, sums: allowance.NewSums(), levels: allowance.NewLevels(t)}
+	a.local = allowance.NewLocal(a.reportRise)
 	return a
 }
 
@@ -56,44 +58,44 @@
 // Refund implements serve.Allowances.
 func (a *accounts) Refund(r *serve.Request) { a.local.Refund(a.now(), r.Account, r.Cost) }
 
-// rise lets the jump of an account's rate be told at once.
-func (a *accounts) rise() {
+// reportRise triggers an immediate report of a rise in an account's rate.
+func (a *accounts) reportRise() {
 	a.mu.Lock()
 	now := a.now()
-	due := !a.rising && now.Sub(a.risen) >= risePause
-	a.rising = a.rising || due
+	due := !a.pendingRise && now.Sub(a.lastRise) >= minRiseInterval
+	a.pendingRise = a.pendingRise || due
 	a.mu.Unlock()
 	if due {
-		a.want()
+		a.requestReport()
 	}
 }
 
-// report returns what is asked of this host and of those that ask it, nil if that was told
-// a moment ago, and whether there is a jump.
-func (a *accounts) report(now time.Time) (uses []fleet.AccountUse, rising bool) {
+// usageReport returns the usage of this host and its children, and whether it contains a rise.
+// It returns nil if usage was reported less than usageInterval ago.
+func (a *accounts) usageReport(now time.Time) (uses []fleet.AccountUse, rising bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.rising && now.Sub(a.reported) < usesPeriod {
+	if !a.pendingRise && now.Sub(a.usageReported) < usageInterval {
 		return nil, false
 	}
-	rising = a.rising
+	rising = a.pendingRise
 	if rising {
-		a.risen = now
+		a.lastRise = now
 	}
-	a.rising, a.reported = false, now
+	a.pendingRise, a.usageReported = false, now
 	return a.sums.Sum(now, a.local.Uses(now), allowance.RelayLife), rising
 }
 
-// unreported takes back a report that may not have been taken in. If it was, what was let
-// through counts twice, which is on the safe side.
-func (a *accounts) unreported(uses []fleet.AccountUse) {
+// restoreUsage adds back the usage of a report that the upstream host may not have received. If
+// it was received, that usage is counted twice, which only makes the limit stricter.
+func (a *accounts) restoreUsage(uses []fleet.AccountUse) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sums.AddLet(uses)
 }
 
-// take takes in what another host tells.
-func (a *accounts) take(now time.Time, p fleet.Pull) {
+// mergeUsage records the usage reported by another host.
+func (a *accounts) mergeUsage(now time.Time, p fleet.Pull) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	life := allowance.ControllerLife
@@ -103,68 +105,70 @@
 	a.sums.Take(now, p.Demand.Host, p.Accounts, life)
 }
 
-// hear takes in which accounts are near their limits and tells whether that is news.
-func (a *accounts) hear(now, asOf time.Time, levels fleet.AccountLevels) bool {
+// applyLevels stores which accounts are near their limits and reports whether that is new.
+func (a *accounts) applyLevels(now, asOf time.Time, levels fleet.AccountLevels) bool {
 	if !a.local.Hear(now, asOf, levels) {
 		return false
 	}
-	a.versions.Add(1)
+	a.levelsVersion.Add(1)
 	return true
 }
 
-// version counts what this host was told.
-func (a *accounts) version() int64 { return a.versions.Load() }
+// version returns the number of level changes applied so far.
+func (a *accounts) version() int64 { return a.levelsVersion.Load() }
 
-// decide decides which accounts are near their limits. It tells whether all have to hear of it.
-func (a *accounts) decide(now time.Time, token int64, c *fleet.Config) bool {
+// decideLevels decides which accounts are near their limits and reports whether other hosts
+// must be notified.
+func (a *accounts) decideLevels(now time.Time, token int64, c *fleet.Config) bool {
 	a.mu.Lock()
-	if !a.rising && now.Sub(a.leveled) < levelPeriod {
+	if !a.pendingRise && now.Sub(a.levelsDecided) < levelInterval {
 		a.mu.Unlock()
 		return false
 	}
-	a.rising, a.leveled = false, now
+	a.pendingRise, a.levelsDecided = false, now
 	levels := a.levels.Decide(now, token, c.Accounts.All(), a.sums.Sum(now, a.local.Uses(now), allowance.ControllerLife))
 	a.mu.Unlock()
-	return a.hear(now, now, levels)
+	return a.applyLevels(now, now, levels)
 }
 
-// takeAccounts takes in what the question of another host tells of accounts.
-func (g *Gateway) takeAccounts(now time.Time, p fleet.Pull) {
+// mergeAccountUsage records the account usage in a pull from another host.
+func (g *Gateway) mergeAccountUsage(now time.Time, p fleet.Pull) {
 	if p.Accounts == nil {
 		return
 	}
-	g.accounts.take(now, p)
+	g.accounts.mergeUsage(now, p)
 	if p.Rising {
-		g.accounts.rise()
+		g.accounts.reportRise()
 	}
 }
 
-// levelAccounts decides which accounts are near their limits, where this host is the controller.
-func (g *Gateway) levelAccounts(now time.Time) {
+// updateAccountLevels decides which accounts are near their limits if this host is the
+// controller.
+func (g *Gateway) updateAccountLevels(now time.Time) {
 	g.accounts.local.SetHosts(g.mesh.hosts())
 	token, c := g.election.Held(), g.config.Load()
 	if token == 0 || c == nil || c.Accounts == nil {
 		return
 	}
-	if g.accounts.decide(now, token, c) {
+	if g.accounts.decideLevels(now, token, c) {
 		g.children.wake()
-		g.logNear()
+		g.logAccountLevels()
 	}
 }
 
-// logNear writes a line for each account that comes near its limit, or is no longer.
-func (g *Gateway) logNear() {
+// logAccountLevels logs each account that has come near its limit or has moved away from it.
+func (g *Gateway) logAccountLevels() {
 	near := map[string]bool{}
 	for _, l := range g.accounts.local.Told().Levels {
 		near[l.Account] = true
-		if !g.accounts.near[l.Account] {
-			g.log.Info("account is near its allowance: each host keeps to its part", "account", l.Account)
+		if !g.accounts.logged[l.Account] {
+			g.log.Info("account is near its allowance; each host enforces its share", "account", l.Account)
 		}
 	}
-	for name := range g.accounts.near {
+	for name := range g.accounts.logged {
 		if !near[name] {
-			g.log.Info("account is far from its allowance again", "account", name)
+			g.log.Info("account is no longer near its allowance", "account", name)
 		}
 	}
-	g.accounts.near = near
+	g.accounts.logged = near
 }
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -9,127 +9,129 @@
 	"github.com/tealvane/tealvane/pkg/relay"
 )
 
-// children are the questions of other hosts that wait here for something to change. It
-// is safe for concurrent use.
+// children tracks the hosts that pull from this one and wakes their pending pulls when
+// something changes. It is safe for concurrent use.
 type children struct {
 	mu     sync.Mutex
-	byHost map[string]*asker
+	byHost map[string]*child
 }
 
-// asker is a host that asks this one.
-type asker struct {
-	answered time.Time
-	told     told
-	// waiting names the models for which requests wait there.
+// child is a host that pulls from this one.
+type child struct {
+	responded time.Time
+	sent      stateVersions
+	// waiting is the set of models that requests on the child wait for.
 	waiting map[fleet.ModelRef]bool
-	// again wakes its question when something may have changed, over is closed when a
-	// newer question has come.
-	again chan struct{}
-	over  chan struct{}
+	// wake makes the pending pull check for changes; superseded is closed when a newer pull
+	// arrives from the same child.
+	wake       chan struct{}
+	superseded chan struct{}
 }
 
-// told is what a host was told of last.
-type told struct {
-	// list is the offset of the newest change of the list of endpoints, claim the token
-	// of the newest claim and config the version of the configuration.
+// stateVersions holds the versions of the state last sent to a child.
+type stateVersions struct {
+	// list is the offset of the newest change to the list of endpoints, claim the token of the
+	// newest claim and config the version of the configuration.
 	list, claim, config int64
-	// hosts is the offset up to which the entries of hosts were told, blocks the version of
-	// the blocked requests.
+	// hosts is the offset up to which host entries were sent, blocks the version of the blocked
+	// requests.
 	hosts, blocks int64
 	// accounts is the version of the accounts near their limits.
 	accounts int64
-	// signals is the version of what endpoints say of themselves.
+	// signals is the version of the endpoint signals.
 	signals int64
 }
 
-// newerThan tells whether something has come since.
-func (t told) newerThan(o told) bool {
+// anyNewerThan reports whether any version in t is newer than in o.
+func (t stateVersions) anyNewerThan(o stateVersions) bool {
 	return t.list > o.list || t.claim > o.claim || t.config > o.config || t.hosts > o.hosts || t.blocks > o.blocks ||
 		t.accounts > o.accounts || t.signals > o.signals
 }
 
-func newChildren() *children { return &children{byHost: map[string]*asker{}} }
+func newChildren() *children { return &children{byHost: map[string]*child{}} }
 
-// enter takes in a question. It ends the one before: its answer would tell less.
-func (c *children) enter(r fleet.DemandReport) *asker {
+// register adds a pull of a child. It supersedes the child's previous pull, which carries older
+// demand.
+func (c *children) register(r fleet.DemandReport) *child {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := &asker{again: make(chan struct{}, 1), over: make(chan struct{})}
+	ch := &child{wake: make(chan struct{}, 1), superseded: make(chan struct{})}
 	if old := c.byHost[r.Host]; old != nil {
-		a.answered = old.answered
-		a.told = old.told
-		a.waiting = old.waiting
-		close(old.over)
+		ch.responded = old.responded
+		ch.sent = old.sent
+		ch.waiting = old.waiting
+		close(old.superseded)
 	}
 	if !r.Same {
-		a.waiting = r.Waiting()
+		ch.waiting = r.Waiting()
 	}
-	c.byHost[r.Host] = a
-	return a
+	c.byHost[r.Host] = ch
+	return ch
 }
 
-// answered notes when a question was answered.
-func (c *children) answered(a *asker, now time.Time, t told) {
+// responded records when a pull was answered and the versions that were sent.
+func (c *children) responded(ch *child, now time.Time, t stateVersions) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a.answered = now
-	a.told = t
+	ch.responded = now
+	ch.sent = t
 }
 
-// count is the number of hosts that ask this one.
+// count returns the number of children.
 func (c *children) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.byHost)
 }
 
-// wake lets all questions look at what has changed.
+// wake makes all pending pulls check for changes.
 func (c *children) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, a := range c.byHost {
-		signal(a.again)
+	for _, ch := range c.byHost {
+		trySend(ch.wake)
 	}
 }
 
-// drop forgets hosts that have not asked for long.
-func (c *children) drop(now time.Time) {
+// evict removes children that have not pulled within childTTL.
+func (c *children) evict(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for host, a := range c.byHost {
-		if !a.answered.IsZero() && now.Sub(a.answered) > askerLife {
+	for host, ch := range c.byHost {
+		if !ch.responded.IsZero() && now.Sub(ch.responded) > childTTL {
 			delete(c.byHost, host)
 		}
 	}
 }
 
-// askerLife is how long a host that asks no more is remembered.
-const askerLife = 4 * time.Second
+// childTTL is how long a child is kept after its last pull.
+const childTTL = 4 * time.Second
 
-// answerPull takes in what another host and those behind it need, and answers when
-// something has changed for it, or when the host has to hear that the controller lives.
+// answerPull records the demand of a child and of the hosts behind it, and blocks until
+// something has changed for the child or the next proof that the controller is alive is due. It
+// returns nil if a newer pull has arrived.
 func (g *Gateway) answerPull(p fleet.Pull) *fleet.Notice {
 	now := g.Now()
-	g.takeDemand(now, p)
-	g.takeCrashes(now, p)
-	g.takeAccounts(now, p)
-	g.takeSignals(now, p.Signals)
-	a := g.children.enter(p.Demand)
+	g.recordDemand(now, p)
+	g.mergeCrashes(now, p)
+	g.mergeAccountUsage(now, p)
+	g.mergeSignals(now, p.Signals)
+	ch := g.children.register(p.Demand)
 	spacing := relay.Spacing(g.children.count(), g.settings.cores())
-	question := relay.Question{Asked: now, Answered: a.answered}
+	pace := relay.Question{Asked: now, Answered: ch.responded}
 	for {
-		changed, urgent := g.board.ChangedFor(g.self.Incarnation, p, a.waiting)
-		urgent = urgent || g.telling().newerThan(a.told)
-		rest := question.Answer(changed, urgent, spacing).Sub(g.Now())
-		if rest <= 0 {
+		changed, urgent := g.board.ChangedFor(g.self.Incarnation, p, ch.waiting)
+		urgent = urgent || g.currentVersions().anyNewerThan(ch.sent)
+		remaining := pace.Answer(changed, urgent, spacing).Sub(g.Now())
+		if remaining <= 0 {
 			break
 		}
-		timer := time.NewTimer(rest)
+		timer := time.NewTimer(remaining)
 		select {
-		case <-a.again:
+		case <-ch.wake:
 			timer.Stop()
 			continue
-		case <-a.over:
+		case <-ch.superseded:
 			timer.Stop()
 			return nil
 		case <-timer.C:
@@ -137,24 +139,24 @@
 		break
 	}
 	now = g.Now()
-	g.children.answered(a, now, g.telling())
-	n := g.withList(now, g.board.Answer(now, g.self.Incarnation, p), p.ListNext-1, g.directory.Material())
+	g.children.responded(ch, now, g.currentVersions())
+	n := g.withListChanges(now, g.board.Answer(now, g.self.Incarnation, p), p.ListNext-1, g.directory.Material())
 	n.Stamp = g.stampFor(now, n.Token)
-	n.BlocksSum, n.Blocks = g.blocks.inAnswer(now, p.BlocksSum)
-	n.SignalsSum, n.Signals = g.signals.inAnswer(now, p.SignalsSum)
+	n.BlocksSum, n.Blocks = g.blocks.forResponse(now, p.BlocksSum)
+	n.SignalsSum, n.Signals = g.signals.forResponse(now, p.SignalsSum)
 	n.Accounts = g.accounts.local.Told()
-	hosts := g.feed.hostsFrom(p.HostsNext)
+	hosts := g.cache.hostsFrom(p.HostsNext)
 	n.Hosts, n.HostsNext = hosts.Entries, hosts.Next
 	return &n
 }
 
-// telling is what this host tells now of all that others must know at once.
-func (g *Gateway) telling() told {
-	return told{
+// currentVersions returns the versions of all state that children must learn of immediately.
+func (g *Gateway) currentVersions() stateVersions {
+	return stateVersions{
 		list:   g.directory.Material(),
 		claim:  g.election.Newest().Token,
 		config: g.configVersion(),
-		hosts:  g.feed.hostsKnown(),
+		hosts:  g.cache.hostsOffset(),
 		blocks: g.guard.Blocks.Version(),
 
 		accounts: g.accounts.version(),
@@ -162,18 +164,18 @@
 	}
 }
 
-// takeDemand takes in a report for the controller, which is this host or the one that
-// it asks itself.
-func (g *Gateway) takeDemand(now time.Time, p fleet.Pull) {
+// recordDemand records a demand report: in the controller if this host is the controller,
+// otherwise in the sums that this host reports upstream.
+func (g *Gateway) recordDemand(now time.Time, p fleet.Pull) {
 	held := g.election.Held()
 	if held == 0 {
-		if g.sums.Take(now, p.Demand, p.Heard) && g.lacks(p.Demand) {
-			g.wantReport()
+		if g.demandSums.Take(now, p.Demand, p.Heard) && g.hasUnplacedDemand(p.Demand) {
+			g.requestReport()
 		}
 		return
 	}
 	g.controller.Report(now, p.Demand)
-	signal(g.noticeNow)
+	trySend(g.stepNow)
 	for _, h := range append(p.Below, p.Heard) {
 		if h.Stamp <= 0 {
 			continue
@@ -187,9 +189,9 @@
 	}
 }
 
-// lacks tells whether requests wait for a model that no endpoint holds or loads, as far
-// as this host knows: the controller has to hear of it at once.
-func (g *Gateway) lacks(r fleet.DemandReport) bool {
+// hasUnplacedDemand reports whether requests wait for a model that, as far as this host knows,
+// no endpoint holds or is loading. Such demand is reported to the controller immediately.
+func (g *Gateway) hasUnplacedDemand(r fleet.DemandReport) bool {
 	now := g.Now()
 	for _, n := range r.Needs {
 		if n.Waiting == 0 {
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -15,94 +15,92 @@
 )
 
 const (
-	// electPeriod is how often a host looks whether it should claim.
-	electPeriod = 100 * time.Millisecond
-	// secondOpinion bounds the questions to other hosts before a claim, and
-	// heardLately is how fresh a sign of the holder's life has to be.
-	secondOpinion = 300 * time.Millisecond
-	heardLately   = 700 * time.Millisecond
-	// maxOpinions is how many other hosts are asked. Where the holder lives, most hosts
-	// hear it, and one of eight at random is among these; each host that asked all others
-	// would make as many connections as there are hosts, all at the same moment.
-	maxOpinions = 8
-	// claimTime is about how long a claim takes to be appended and read by others, and
-	// maxClaimDelay bounds the pause before one, a quarter of the silence after which a
-	// holder is challenged.
-	claimTime     = 5 * time.Millisecond
-	maxClaimDelay = 300 * time.Millisecond
-	// releaseRetry separates two tries of a stopping host to hand its claim on.
-	releaseRetry = 400 * time.Millisecond
+	// electionInterval is how often a host checks whether it should claim.
+	electionInterval = 100 * time.Millisecond
+	// holderCheckTimeout bounds the requests to other hosts before a claim. A holder counts as
+	// alive if another host has heard it within maxHolderAge.
+	holderCheckTimeout = 300 * time.Millisecond
+	maxHolderAge       = 700 * time.Millisecond
+	// maxHolderChecks is how many other hosts are asked. While the holder is alive most hosts
+	// hear it, so a small random sample is enough; asking all hosts would open a connection
+	// from each host to every other one at the same time.
+	maxHolderChecks = 8
+	// claimDelayPerHost is about how long it takes to append a claim and for others to read it.
+	// maxClaimDelay bounds the random delay before a claim.
+	claimDelayPerHost = 5 * time.Millisecond
+	maxClaimDelay     = 300 * time.Millisecond
+	// releaseRetryDelay is the delay between two attempts to release the claim on shutdown.
+	releaseRetryDelay = 400 * time.Millisecond
 )
 
-// elect claims when nobody gives orders.
+// elect claims whenever there is no controller.
 func (g *Gateway) elect(ctx context.Context) {
-	every(ctx, electPeriod, func() {
+	every(ctx, electionInterval, func() {
 		if g.election.Running(bootTime()) {
-			g.log.Warn("host was frozen; orders wait until the store confirms the claim")
+			g.log.Warn("host was suspended; orders are paused until the store confirms the claim")
 		}
 		if g.election.Confirming() {
 			g.confirmClaim(ctx)
 		}
-		// A claim must come after this incarnation's entry: others take the holder
-		// for dead by an entry of another incarnation.
-		if g.leaving.Load() || !g.announced.Load() || !g.election.ShouldClaim(g.Now()) {
+		// The host entry must precede the claim: others consider a holder dead if its host has
+		// an entry of another incarnation.
+		if g.stopping.Load() || !g.announced.Load() || !g.election.ShouldClaim(g.Now()) {
 			return
 		}
-		g.challenge(ctx, g.heardElsewhere)
+		g.challenge(ctx, g.holderHeardByPeer)
 	})
 }
 
-// challenge claims, unless another host has heard the holder of the newest claim. It
-// challenges only the claim that was the newest when it began: hosts that had waited
-// for the others' opinions claimed over a claim that was won meanwhile, and among 78
-// hosts orders changed hands six times in four seconds.
-func (g *Gateway) challenge(ctx context.Context, heardElsewhere func(context.Context) bool) {
+// challenge claims, unless another host has heard the holder of the newest claim. It gives up
+// if a newer claim is seen meanwhile, so that hosts that were delayed do not replace a
+// controller that was just elected.
+func (g *Gateway) challenge(ctx context.Context, holderHeard func(context.Context) bool) {
 	challenged := g.election.Newest().Token
 	end := g.mesh.claimsEnd()
-	if !g.election.Vacant() && heardElsewhere(ctx) {
+	if !g.election.Vacant() && holderHeard(ctx) {
 		return
 	}
-	wait.For(ctx, g.mesh.modesty()+claimDelay(g.mesh.hosts()))
+	wait.For(ctx, g.mesh.claimBackoff()+claimDelay(g.mesh.hosts()))
 	if ctx.Err() != nil || g.election.Newest().Token != challenged {
 		return
 	}
 	g.claim(ctx, end)
 }
 
-// claimDelay is a random pause before a claim, so that most hosts read the first one's
-// instead of making one of their own in vain.
+// claimDelay returns a random delay before a claim, so that most hosts read the first claim
+// before they would append their own.
 func claimDelay(hosts int) time.Duration {
-	return rand.N(min(time.Duration(hosts)*claimTime, maxClaimDelay))
+	return rand.N(min(time.Duration(hosts)*claimDelayPerHost, maxClaimDelay))
 }
 
-// heardElsewhere tells whether another host has heard the holder of the newest
-// claim lately. If so the holder lives, and only this host does not hear it.
-func (g *Gateway) heardElsewhere(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, secondOpinion)
+// holderHeardByPeer reports whether another host has recently heard the holder of the newest
+// claim. If so the holder is alive, and only this host cannot reach it.
+func (g *Gateway) holderHeardByPeer(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, holderCheckTimeout)
 	defer cancel()
 	holder := g.election.Newest()
-	addrs := g.mesh.some(g.Now(), maxOpinions)
-	type sign struct {
+	addrs := g.mesh.sample(g.Now(), maxHolderChecks)
+	type observation struct {
 		at time.Time
 		ok bool
 	}
-	heard := make(chan sign, len(addrs))
-	asked := 0
+	heard := make(chan observation, len(addrs))
+	checks := 0
 	for _, addr := range addrs {
 		if addr == holder.Holder.Addr {
 			continue
 		}
-		asked++
+		checks++
 		go func() {
-			answer, err := g.mesh.send(ctx, addr, peer.Request{})
-			if err == nil && answer.Claim != nil && answer.Claim.Token > holder.Token {
-				g.election.Observe(g.Now(), *answer.Claim)
+			response, err := g.mesh.send(ctx, addr, peer.Request{})
+			if err == nil && response.Claim != nil && response.Claim.Token > holder.Token {
+				g.election.Observe(g.Now(), *response.Claim)
 			}
-			ago, ok := witnessed(answer, holder.Token)
-			heard <- sign{g.Now().Add(-ago), err == nil && ok}
+			ago, ok := holderLastHeard(response, holder.Token)
+			heard <- observation{g.Now().Add(-ago), err == nil && ok}
 		}()
 	}
-	for range asked {
+	for range checks {
 		if s := <-heard; s.ok {
 			g.election.Heard(s.at, holder.Token)
 			return true
@@ -111,48 +109,48 @@
 	return false
 }
 
-// witnessed tells how long ago another host has heard the holder of a claim, if it
-// can witness that. A host that does not know the asker yet answers without its
-// claim, and one that knows an older claim speaks of another holder; taken for
-// witnesses, they would put the successor of a dead holder off for as long as their
-// reads of the store hang.
-func witnessed(answer peer.Response, token int64) (ago time.Duration, ok bool) {
-	if answer.Claim == nil || answer.Claim.Token < token {
+// holderLastHeard returns how long ago another host heard the holder of a claim, and whether
+// that is recent. Hosts that do not know the caller, or that only know an older claim, cannot
+// vouch for this holder; counting them would delay the takeover from a dead holder.
+func holderLastHeard(response peer.Response, token int64) (ago time.Duration, ok bool) {
+	if response.Claim == nil || response.Claim.Token < token {
 		return 0, false
 	}
-	ago = time.Duration(answer.HolderHeard) * time.Millisecond
-	return ago, ago < heardLately
+	ago = time.Duration(response.HolderHeard) * time.Millisecond
+	return ago, ago < maxHolderAge
 }
 
-// bootTime is the clock that goes on while the host is suspended.
+// bootTime returns the time since boot, including time spent suspended.
 func bootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Without that clock a suspension shows only in the steady one, which
-		// stands still meanwhile; the fencing tokens remain.
+		// Without this clock a suspension goes undetected, since the monotonic clock stops
+		// meanwhile. Fencing tokens still apply.
 		return 0
 	}
 	return time.Duration(ts.Nano())
 }
 
-// claim appends a claim where the topic ended when the host decided to.
+// claim appends a claim at end, the offset up to which this host had read the topic when it
+// decided to claim.
 func (g *Gateway) claim(ctx context.Context, end int64) {
 	offset, err := g.putClaim(ctx, g.self, end)
 	if err != nil {
 		g.log.Info("claim failed", "error", err.Error())
 		if errors.Is(err, fleet.ErrStoreConflict) {
-			// Another claim came first, and the read that should have told hangs.
+			// Another host claimed first, and this host's read of the topic has not returned it
+			// yet.
 			g.confirmClaim(ctx)
 		}
 		return
 	}
-	g.election.Won(g.Now(), token(offset))
-	g.log.Info("claim won", "token", token(offset))
-	signal(g.noticeNow)
+	g.election.Won(g.Now(), claimToken(offset))
+	g.log.Info("claim won", "token", claimToken(offset))
+	trySend(g.stepNow)
 }
 
-// putClaim appends a claim at an end of the topic that this host has read: if another
-// claim came in between, it fails.
+// putClaim appends a claim at offset end of the topic. It fails if another claim was appended
+// in between.
 func (g *Gateway) putClaim(ctx context.Context, h orders.Holder, end int64) (int64, error) {
 	value, err := record.Marshal(h)
 	if err != nil {
@@ -161,27 +159,26 @@
 	return g.store.Put(ctx, fleet.TopicClaims, claimKey, value, end)
 }
 
-// claimKey is the only key of the claims topic; the newest claim stays.
+// claimKey is the only key of the claims topic, which keeps the newest claim.
 const claimKey = "controller"
 
-// confirmClaim reads the newest claim now: after a freeze, or when this host's
-// own has met another.
+// confirmClaim reads the newest claim from the store, after this host was suspended or its own
+// claim conflicted with another.
 func (g *Gateway) confirmClaim(ctx context.Context) {
 	batch, err := g.store.Newest(ctx, fleet.TopicClaims)
 	if err != nil {
-		g.log.Info("claim is not confirmed yet", "error", err.Error())
+		g.log.Info("confirming the claim failed", "error", err.Error())
 		return
 	}
 	for _, e := range batch.Entries {
-		g.takeClaim(e)
+		g.applyClaim(e)
 	}
 	g.mesh.setClaimsNext(batch.Next)
 	g.election.Caught()
 }
 
-// releaseClaim hands the claim on when the host stops. While the store does not
-// answer nobody can claim; the host then goes on to give orders until its end,
-// or no cold model would be loaded until the store is back.
+// releaseClaim releases the claim on shutdown so that another host can claim at once. While the
+// store is unavailable nobody can claim; this host then remains the controller until it stops.
 func (g *Gateway) releaseClaim(ctx context.Context, end time.Time) {
 	released := g.self
 	released.Released = true
@@ -192,10 +189,10 @@
 		}
 		if _, err := g.putClaim(ctx, released, g.mesh.claimsEnd()); err == nil {
 			g.election.Lost(held)
-			g.log.Info("claim handed on", "token", held)
+			g.log.Info("claim released", "token", held)
 			return
 		}
-		wait.For(ctx, releaseRetry)
+		wait.For(ctx, releaseRetryDelay)
 	}
-	g.log.Info("claim is not handed on; it lapses", "token", g.election.Held())
+	g.log.Info("claim not released; it expires", "token", g.election.Held())
 }
--- a/pkg/gateway/challenge_test.go
+++ b/pkg/gateway/claim_test.go
@@ -11,7 +11,7 @@
 	"github.com/tealvane/tealvane/pkg/orders"
 )
 
-// claimStore keeps the claims that were appended.
+// claimStore records the offsets of appended claims.
 type claimStore struct {
 	fleet.Store
 	ends []int64
@@ -22,25 +22,24 @@
 	return at, nil
 }
 
-// The controller dies. Each host asks the others whether they have heard it, which takes a
-// while, and claims. Those that were slower claimed over the one that had won meanwhile:
-// the orders of 78 hosts changed hands six times, and no model was loaded for seconds.
-func TestFreshClaimIsNotChallenged(t *testing.T) {
+// Guards against repeated changes of the controller: a host that was delayed by checking the
+// holder must not replace a controller elected meanwhile.
+func TestNewerClaimIsNotChallenged(t *testing.T) {
 	dead := orders.Claim{Holder: orders.Holder{Host: "dead", Incarnation: "1"}, Token: 7}
-	fresh := orders.Claim{Holder: orders.Holder{Host: "other", Incarnation: "1"}, Token: 8}
+	newer := orders.Claim{Holder: orders.Holder{Host: "other", Incarnation: "1"}, Token: 8}
 	for _, c := range []struct {
 		name   string
 		during func(g *Gateway)
 		heard  bool
 		ends   []int64
 	}{
-		{"nobody else claims", func(*Gateway) {}, false, []int64{7}},
+		{"no other claim", func(*Gateway) {}, false, []int64{7}},
 		{"another host has heard the holder", func(*Gateway) {}, true, nil},
-		{"another host has claimed, and its claim was read", func(g *Gateway) {
-			g.election.Observe(g.Now(), fresh)
+		{"another host has claimed and the claim was read", func(g *Gateway) {
+			g.election.Observe(g.Now(), newer)
 			g.mesh.setClaimsNext(8)
 		}, false, nil},
-		{"it is not read yet: the store refuses this one", func(g *Gateway) { g.mesh.setClaimsNext(8) }, false, []int64{7}},
+		{"another host has claimed but the claim was not read: the store refuses this one", func(g *Gateway) { g.mesh.setClaimsNext(8) }, false, []int64{7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -61,12 +60,11 @@
 	}
 }
 
-// Many hosts may claim at the same moment; a claim made in vain costs a call and another
-// to read the one that won.
-func TestClaimsAreSpread(t *testing.T) {
+// Guards against many hosts claiming at the same moment, which costs store calls.
+func TestClaimDelayIsSpread(t *testing.T) {
 	is := is.New(t)
 	for range 100 {
-		is.True(claimDelay(6) <= 30*time.Millisecond) // few hosts hardly wait
+		is.True(claimDelay(6) <= 30*time.Millisecond) // short delay with few hosts
 		is.True(claimDelay(440) <= maxClaimDelay)
 	}
 	spread := map[time.Duration]bool{}
--- a/pkg/gateway/config_inner_test.go
+++ b/pkg/gateway/config_inner_test.go
@@ -8,40 +8,39 @@
 	"github.com/tealvane/tealvane/pkg/peer"
 )
 
-// The configuration has grown by thousands of routes, and a relay with a slow link passes it on to all
-// its hosts. None got it before its question timed out, and each asked again every 150 ms, so
-// that it came seconds late: requests were refused for want of a route that was there.
-func TestConfigurationThatNobodyPassesOnIsReadFromTheStore(t *testing.T) {
+// Guards against a host waiting indefinitely for a configuration that other hosts announce but
+// fail to send in time.
+func TestConfigurationIsReadFromStoreIfPeerFails(t *testing.T) {
 	is := is.New(t)
 	g := relayHost()
 	cert, _, err := peer.SelfSigned(g.Now())
 	is.NoErr(err)
-	node, err := peer.ListenPinned("127.0.0.1:0", cert, g.mesh.known, g.answerPeer)
+	node, err := peer.ListenPinned("127.0.0.1:0", cert, g.mesh.trusted, g.handlePeer)
 	is.NoErr(err)
 	defer func() { is.NoErr(node.Close()) }()
 	g.mesh.node = node
-	is.True(!g.lacksConfig())
-	g.compareConfig("127.0.0.1:1", 7) // nobody answers there
+	is.True(!g.missedNewerConfig())
+	g.fetchNewerConfig("127.0.0.1:1", 7) // no host listens there
 	deadline := time.After(5 * time.Second)
-	for !g.lacksConfig() {
+	for !g.missedNewerConfig() {
 		select {
 		case <-time.After(time.Millisecond):
 		case <-deadline:
-			t.Fatal("the host goes on to rest on the word of others")
+			t.Fatal("host does not fall back to the store within 5 s")
 		}
 	}
 }
 
-// A question whose answer is on its way is not asked again, other hosts are.
-func TestNoHostIsAskedTwiceAtATime(t *testing.T) {
+// Guards against several copies of the same response competing for a slow link.
+func TestOneStateRequestPerHostInFlight(t *testing.T) {
 	is := is.New(t)
 	m := newMesh("a", peer.Fingerprint{})
 	now := time.Unix(1000, 0)
-	is.True(m.beginAsk(now, "x"))
-	now = now.Add(askPause)
-	is.True(!m.beginAsk(now, "x"))
-	is.True(m.beginAsk(now, "y"))
-	m.endAsk("x")
-	now = now.Add(askPause)
-	is.True(m.beginAsk(now, "x"))
+	is.True(m.beginStateRequest(now, "x"))
+	now = now.Add(minStateRequestInterval)
+	is.True(!m.beginStateRequest(now, "x"))
+	is.True(m.beginStateRequest(now, "y"))
+	m.endStateRequest("x")
+	now = now.Add(minStateRequestInterval)
+	is.True(m.beginStateRequest(now, "x"))
 }
--- a/pkg/gateway/config_test.go
+++ b/pkg/gateway/config_test.go
@@ -12,12 +12,11 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, 100, 30) }
 
-// A route that was added is refused again: records of the configuration's topic
-// are read twice, come late from another host, out of order, or cannot be
-// decoded. The version in force is always the newest that was understood.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// Guards against an older configuration replacing a newer one when records arrive twice, late,
+// out of order or damaged.
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	d := newDeployment(t)
-	g := d.startWith("a", site.Silent)
+	g := d.startHostWithFault("a", site.Silent)
 	newest := int64(0)
 	rapid.Check(t, func(t *rapid.T) {
 		start := newest
@@ -31,7 +30,7 @@
 				newest = version
 			}
 			if got := g.TakeConfig(fleet.Entry{Key: "config", Value: []byte(value), Offset: int64(i)}); got != newest {
-				t.Fatalf("version %d in force, not %d, after %s", got, newest, value)
+				t.Fatalf("got version %d in force, want %d, after %s", got, newest, value)
 			}
 		}
 	})
--- a/pkg/gateway/crash_test.go
+++ b/pkg/gateway/crash_test.go
@@ -12,75 +12,75 @@
 )
 
 const (
-	// spread is within what time of the third end all hosts have to know of a request that
-	// ends endpoints, and strayRuns how many endpoints it may reach after that.
-	spread    = 3 * time.Second
-	strayRuns = 3
-	// crashing is the body of that request.
-	crashing = "a prompt that crashes its engine"
+	// blockPropagation is the time after the third crash within which all hosts must block the
+	// request. maxStrayRuns is how many more endpoints it may reach after that.
+	blockPropagation = 3 * time.Second
+	maxStrayRuns     = 3
+	// crashingBody is the body of the request that crashes endpoints.
+	crashingBody = "a prompt that crashes its engine"
 )
 
-// crashers starts endpoints of a model that the crashing request ends.
-func (d *deployment) crashers(n int) []*site.Endpoint {
+// startCrashableEndpoints starts endpoints of a model that crash on crashingBody.
+func (d *deployment) startCrashableEndpoints(n int) []*site.Endpoint {
 	var out []*site.Endpoint
 	for i := range n {
-		out = append(out, d.endpoint(site.EndpointConfig{
+		out = append(out, d.startEndpoint(site.EndpointConfig{
 			ID: fmt.Sprint("e", i), Service: "llm", Zone: "zone-a", Slots: 8, WeightsMB: 125, AdapterSlots: 4, Models: models,
-			Holds: []string{"warm"}, Events: 3, Pace: 5 * time.Millisecond, CrashOn: crashing,
+			Holds: []string{"warm"}, Events: 3, Pace: 5 * time.Millisecond, CrashOn: crashingBody,
 		}))
 	}
 	return out
 }
 
-// crashUntil sends the crashing request to hosts in turn until so many endpoints have ended.
+// crashUntil sends the crashing request to hosts in turn until n endpoints have crashed.
 func (d *deployment) crashUntil(n int, endpoints []*site.Endpoint, hosts ...*host) {
 	d.t.Helper()
-	for i := 0; crashed(endpoints) < n; i++ {
-		d.askWith(hosts[i%len(hosts)], "/chat/", "warm", crashing)
+	for i := 0; countCrashes(endpoints) < n; i++ {
+		d.requestWithBody(hosts[i%len(hosts)], "/chat/", "warm", crashingBody)
 	}
 }
 
-// keptFrom checks that the crashing request reaches no more endpoints than it may.
-func (d *deployment) keptFrom(endpoints []*site.Endpoint, hosts ...*host) {
+// checkBlocked checks that the crashing request reaches at most maxStrayRuns further endpoints.
+func (d *deployment) checkBlocked(endpoints []*site.Endpoint, hosts ...*host) {
 	d.t.Helper()
-	before := crashed(endpoints)
+	before := countCrashes(endpoints)
 	for range 3 {
 		for _, h := range hosts {
-			if got := d.askWith(h, "/chat/", "warm", crashing); got.status == http.StatusOK {
-				d.t.Errorf("%d to the crashing request", got.status)
+			if got := d.requestWithBody(h, "/chat/", "warm", crashingBody); got.status == http.StatusOK {
+				d.t.Errorf("got status %d for the crashing request", got.status)
 			}
 		}
 	}
-	if n := crashed(endpoints) - before; n > strayRuns {
-		d.t.Errorf("a request that had ended three endpoints reached %d more, %d are allowed", n, strayRuns)
+	if n := countCrashes(endpoints) - before; n > maxStrayRuns {
+		d.t.Errorf("a request that had crashed three endpoints reached %d more, want at most %d", n, maxStrayRuns)
 	}
 }
 
-// meet waits until hosts know one another.
-func (d *deployment) meet(hosts ...*host) {
+// waitForPeers waits until all hosts know each other.
+func (d *deployment) waitForPeers(hosts ...*host) {
 	d.t.Helper()
-	d.until("the hosts know each other", func() bool {
+	d.waitFor("the hosts know each other", func() bool {
 		return !slices.ContainsFunc(hosts, func(h *host) bool { return h.Peers() < len(hosts)-1 })
 	})
 }
 
-// crashedPair starts two hosts, and the crashing request has ended three endpoints there.
-func (d *deployment) crashedPair() (endpoints []*site.Endpoint, a, b *host) {
+// startCrashedPair starts two hosts and crashes three endpoints.
+func (d *deployment) startCrashedPair() (endpoints []*site.Endpoint, a, b *host) {
 	d.t.Helper()
 	d.publish(config(1))
-	endpoints = d.crashers(24)
+	endpoints = d.startCrashableEndpoints(24)
 	a, b = d.startHost("a"), d.startHost("b")
-	d.meet(a, b)
+	d.waitForPeers(a, b)
 	d.crashUntil(3, endpoints, a, b)
 	return endpoints, a, b
 }
 
-// crashed counts the endpoints that ran the crashing request.
-func crashed(endpoints []*site.Endpoint) int {
+// countCrashes returns the number of endpoints that ran the crashing request.
+func countCrashes(endpoints []*site.Endpoint) int {
 	n := 0
 	for _, e := range endpoints {
 		for _, r := range e.Runs() {
-			if r.Body == crashing {
+			if r.Body == crashingBody {
 				n++
 			}
 		}
@@ -88,115 +88,110 @@
 	return n
 }
 
-// A client sends a request that crashes the engine which runs it, again and again, at any
-// host. Each attempt was a new request to the host that got it, and went to two
-// endpoints: one had ended 35 of them within a minute, and all callers of the model
-// lost their answers with each ("read stream: unexpected EOF" on up to eight hosts at once).
-// What a host had seen of a request ended with the attempt.
-func TestCrashingRequestIsKeptFromEndpoints(t *testing.T) {
+// Guards against a request that crashes its endpoint being sent to further endpoints when the
+// client retries it on any host.
+func TestCrashingRequestIsBlocked(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	endpoints := d.crashers(24)
+	endpoints := d.startCrashableEndpoints(24)
 	hosts := []*host{d.startHost("a"), d.startHost("b"), d.startHost("c")}
-	d.meet(hosts...)
+	d.waitForPeers(hosts...)
 	d.crashUntil(3, endpoints, hosts[0], hosts[1])
-	<-time.After(spread)
-	d.keptFrom(endpoints, hosts...)
+	<-time.After(blockPropagation)
+	d.checkBlocked(endpoints, hosts...)
 	// Other requests of the model are served.
 	for _, h := range hosts {
-		is.Equal(d.ask(h, "/chat/", "warm").status, http.StatusOK)
+		is.Equal(d.request(h, "/chat/", "warm").status, http.StatusOK)
 	}
 }
 
-// A host is cut off from all others, and each of the two sides sees only a part of the ends.
-// Both reach the store, and callers both sides; neither may wait for the other's word.
-func TestCrashingRequestAtAHostCutFromTheOthers(t *testing.T) {
+// Guards against a host that is cut off from the others, but not from the store, letting a
+// crashing request through because each side sees only some of the crashes.
+func TestCrashingRequestIsBlockedOnIsolatedHost(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.publish(config(1))
-	endpoints := d.crashers(24)
+	endpoints := d.startCrashableEndpoints(24)
 	a, b, c := d.startHost("a"), d.startHost("b"), d.startHost("c")
-	d.meet(a, b, c)
-	d.until("somebody gives orders", func() bool { return a.Controls() || b.Controls() || c.Controls() })
-	cut := a
+	d.waitForPeers(a, b, c)
+	d.waitFor("a host is the controller", func() bool { return a.Controls() || b.Controls() || c.Controls() })
+	isolated := a
 	if a.Controls() {
-		cut = b
+		isolated = b
 	}
-	cut.CutPeers()
-	d.until("the host is told nothing", func() bool { return cut.Silence() > spread })
-	d.crashUntil(3, endpoints, cut, c)
-	<-time.After(spread)
-	d.keptFrom(endpoints, a, b, c)
+	isolated.CutPeers()
+	d.waitFor("the host receives no updates", func() bool { return isolated.Silence() > blockPropagation })
+	d.crashUntil(3, endpoints, isolated, c)
+	<-time.After(blockPropagation)
+	d.checkBlocked(endpoints, a, b, c)
 }
 
-// All hosts are cut off from one another, and reach the store. Each sees one end under a request
-// that its route lets run once; none would ever see three, and each would send it to three.
-// One host that nobody asks did not read what the others had written: claims came one after
-// the other, and each was taken for a sign that its holder would speak soon.
-func TestCrashingRequestAtHostsCutFromOneAnother(t *testing.T) {
+// Guards against hosts that are all cut off from each other not combining their crashes through
+// the store, including hosts that see new claims but receive no updates.
+func TestCrashingRequestIsBlockedWhenAllHostsAreIsolated(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.publish(config(1))
 	var endpoints []*site.Endpoint
 	for i := range 12 {
-		endpoints = append(endpoints, d.endpoint(site.EndpointConfig{ID: fmt.Sprint("p", i), Service: "plain", Zone: "zone-a", Slots: 4, CrashOn: crashing}))
+		endpoints = append(endpoints, d.startEndpoint(site.EndpointConfig{ID: fmt.Sprint("p", i), Service: "plain", Zone: "zone-a", Slots: 4, CrashOn: crashingBody}))
 	}
 	var hosts []*host
 	for _, name := range []string{"a", "b", "c", "d"} {
 		hosts = append(hosts, d.startHost(name))
 	}
-	d.meet(hosts...)
+	d.waitForPeers(hosts...)
 	for _, h := range hosts {
 		h.CutPeers()
 	}
-	d.until("nobody is told anything", func() bool {
-		return !slices.ContainsFunc(hosts, func(h *host) bool { return h.Silence() < spread })
+	d.waitFor("no host receives updates", func() bool {
+		return !slices.ContainsFunc(hosts, func(h *host) bool { return h.Silence() < blockPropagation })
 	})
 	for _, h := range hosts[:3] {
-		d.askWith(h, "/screen/", "", crashing)
+		d.requestWithBody(h, "/screen/", "", crashingBody)
 	}
-	<-time.After(spread)
+	<-time.After(blockPropagation)
 	for i, h := range hosts {
 		if h.Blocks() == 0 {
-			t.Errorf("host %d does not know of the block %v after the third end", i, spread)
+			t.Errorf("host %d does not know of the block %v after the third crash", i, blockPropagation)
 		}
 	}
-	before := crashed(endpoints)
+	before := countCrashes(endpoints)
 	for range 3 {
 		for _, h := range hosts {
-			d.askWith(h, "/screen/", "", crashing)
+			d.requestWithBody(h, "/screen/", "", crashingBody)
 		}
 	}
-	if n := crashed(endpoints) - before; n > strayRuns {
-		t.Errorf("%d endpoints more have ended, %d are allowed", n, strayRuns)
+	if n := countCrashes(endpoints) - before; n > maxStrayRuns {
+		t.Errorf("%d more endpoints have crashed, want at most %d", n, maxStrayRuns)
 	}
 }
 
-// All hosts lose power after a request was blocked, and the client goes on. The new
-// incarnations had seen none of the ends and sent it to three endpoints more each.
-func TestBlockOutlivesAllHosts(t *testing.T) {
+// Guards against losing a block when all hosts lose power at once.
+func TestBlockSurvivesRestartOfAllHosts(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	endpoints, a, b := d.crashedPair()
-	d.until("the block is kept", func() bool { return d.store.Size("keyed.crashes") > 0 && a.Blocks() > 0 })
-	<-time.After(spread)
+	endpoints, a, b := d.startCrashedPair()
+	d.waitFor("the block is stored", func() bool { return d.store.Size("keyed.crashes") > 0 && a.Blocks() > 0 })
+	<-time.After(blockPropagation)
 	a.Kill()
 	b.Kill()
 	a, b = d.startHost("a"), d.startHost("b")
-	<-time.After(spread)
-	d.keptFrom(endpoints, a, b)
+	<-time.After(blockPropagation)
+	d.checkBlocked(endpoints, a, b)
 }
 
-// A host starts while the store answers nobody. It hears of the block from the others.
-func TestFreshHostHearsOfABlock(t *testing.T) {
+// Guards against a host that starts during a store outage not learning of a block from other
+// hosts.
+func TestStartingHostLearnsOfBlock(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
-	endpoints, a, b := d.crashedPair()
-	d.until("the request is blocked", func() bool { return a.Blocks() > 0 && b.Blocks() > 0 })
+	endpoints, a, b := d.startCrashedPair()
+	d.waitFor("the request is blocked", func() bool { return a.Blocks() > 0 && b.Blocks() > 0 })
 	c := d.startHost("c")
-	c.door.Set(site.Silent)
-	d.until("the fresh host knows it", func() bool { return c.Blocks() > 0 })
-	d.keptFrom(endpoints, c)
+	c.storeListener.Set(site.Silent)
+	d.waitFor("the new host knows the block", func() bool { return c.Blocks() > 0 })
+	d.checkBlocked(endpoints, c)
 }
--- a/pkg/gateway/crashstore.go
+++ b/pkg/gateway/crashstore.go
@@ -12,167 +12,166 @@
 )
 
 const (
-	// keepPeriod is how often a host looks whether the store lacks what it knows of crashes: a
-	// small part of the three seconds in which a host that is cut off has to know.
-	keepPeriod = 200 * time.Millisecond
-	// backupDelay is how long after a block a host that does not give orders looks whether the
-	// one that does has written it: that one may be cut off from the store.
-	backupDelay = 1500 * time.Millisecond
-	// keptEnds is under how many ends a request is written to the store, before it is blocked:
-	// what only one end speaks for is lost if all hosts lose power at once.
-	keptEnds = 2
-	// keptTrial is for how long after the last end a request has to be on trial to be written
-	// too: those that harm nobody have most often been cleared.
-	keptTrial = 2 * time.Second
-	// untoldEnds is the same for a host that is told nothing by others. It may be cut off from
-	// them, and the store is the only way to tell the end that it has seen.
-	untoldEnds = 1
-	// cutOffFor is after how long without news a host takes itself for cut off: a controller
-	// that has died is replaced within this time.
-	cutOffFor = 2 * time.Second
-	// maxKept bounds the records that a host writes at a time, a fifth of the calls that it may
-	// make at once.
-	maxKept = 4
-	// keepLooking is for how long after something new a host looks whether it has to be
-	// written: it may take over meanwhile, or find the store away.
-	keepLooking = 30 * time.Second
+	// crashStoreInterval is how often a host checks whether the store lacks crash data that
+	// this host has.
+	crashStoreInterval = 200 * time.Millisecond
+	// backupWriteDelay is how long after a block other relays check that the controller has
+	// written it. The controller may be unable to reach the store.
+	backupWriteDelay = 1500 * time.Millisecond
+	// minStoredCrashes is how many endpoints a request must have crashed for the crashes to be
+	// written to the store before it is blocked. A crash known to a single host is lost if all
+	// hosts lose power at once.
+	minStoredCrashes = 2
+	// minStoredTrialAge is how long after its last crash a request must still be on trial to be
+	// written to the store. Most harmless requests are cleared by then.
+	minStoredTrialAge = 2 * time.Second
+	// minStoredCrashesIsolated replaces minStoredCrashes on a host that receives no updates.
+	// The store may be its only way to report a crash.
+	minStoredCrashesIsolated = 1
+	// isolationTimeout is the time without updates after which a host considers itself cut off
+	// from the others. A dead controller is replaced within this time.
+	isolationTimeout = 2 * time.Second
+	// maxRecordsPerWrite bounds the records written in one pass.
+	maxRecordsPerWrite = 4
+	// crashStoreActivePeriod is how long after new crash data a host keeps checking whether to
+	// write it: it may become the controller meanwhile, or the store may be unavailable.
+	crashStoreActivePeriod = 30 * time.Second
 )
 
-// crashRecord is what the store keeps of one content. It outlives a loss of power of all
-// hosts.
+// crashRecord is the stored form of the crashes and blocks of one content. It survives a loss
+// of power of all hosts.
 type crashRecord struct {
-	// Written is when, in Unix milliseconds; the ages of the crashes are as of then.
+	// Written is the Unix time in milliseconds that the ages of the crashes refer to.
 	Written int64         `cbor:"1,keyasint"`
 	Crashes []fleet.Crash `cbor:"2,keyasint,omitempty"`
 	Blocks  []fleet.Block `cbor:"3,keyasint,omitempty"`
 }
 
-// over tells whether a record counts no more: a block that it holds has ended.
-func (r crashRecord) over(now time.Time) bool {
+// expired reports whether the record is too old to count: any block in it has expired.
+func (r crashRecord) expired(now time.Time) bool {
 	return now.UnixMilli()-r.Written > quarantine.BlockLife.Milliseconds()
 }
 
-// keptCrashes is what of each content the store is known to hold. It is safe for concurrent
-// use.
-type keptCrashes struct {
+// storedCrashes tracks what the store holds of each content. It is safe for concurrent use.
+type storedCrashes struct {
 	mu        sync.Mutex
 	byContent map[uint64]crashRecord
-	// stale are the keys of records that count no more.
+	// stale holds the keys of expired records.
 	stale map[string]bool
 }
 
-func newKeptCrashes() *keptCrashes {
-	return &keptCrashes{byContent: map[uint64]crashRecord{}, stale: map[string]bool{}}
+func newStoredCrashes() *storedCrashes {
+	return &storedCrashes{byContent: map[uint64]crashRecord{}, stale: map[string]bool{}}
 }
 
-// set notes what the store holds of a content. A record that was written anew is not removed
-// for the age of the one before.
-func (k *keptCrashes) set(content uint64, r crashRecord) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.byContent[content] = r
-	delete(k.stale, fleet.Hex(content))
+// set records what the store holds of a content. It cancels a pending removal of the previous
+// record.
+func (s *storedCrashes) set(content uint64, r crashRecord) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.byContent[content] = r
+	delete(s.stale, fleet.Hex(content))
 }
 
-// removed notes that another host has removed the record under a key. What still counts of
-// it is written again.
-func (k *keptCrashes) removed(key string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.stale, key)
-	maps.DeleteFunc(k.byContent, func(content uint64, _ crashRecord) bool { return fleet.Hex(content) == key })
+// removed records that another host has removed the record under a key. Data of it that still
+// counts is written again.
+func (s *storedCrashes) removed(key string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.stale, key)
+	maps.DeleteFunc(s.byContent, func(content uint64, _ crashRecord) bool { return fleet.Hex(content) == key })
 }
 
-// lacks tells whether a record says more than the store's: more ends while they can
-// still decide, or more blocks.
-func (k *keptCrashes) lacks(content uint64, r crashRecord) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	have := k.byContent[content]
-	return len(r.Blocks) > len(have.Blocks) || len(have.Blocks) == 0 && len(r.Crashes) > len(have.Crashes)
+// needsWrite reports whether a record has more crashes or blocks than the store's. Further
+// crashes no longer matter once there is a block.
+func (s *storedCrashes) needsWrite(content uint64, r crashRecord) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	stored := s.byContent[content]
+	return len(r.Blocks) > len(stored.Blocks) || len(stored.Blocks) == 0 && len(r.Crashes) > len(stored.Crashes)
 }
 
-func (k *keptCrashes) markStale(key string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stale[key] = true
+func (s *storedCrashes) markStale(key string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stale[key] = true
 }
 
-// prune forgets records that count no more, and marks their keys for removal. Keyed topics
-// keep the newest record of each key for ever.
-func (k *keptCrashes) prune(now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for content, r := range k.byContent {
-		if r.over(now) {
-			delete(k.byContent, content)
-			k.stale[fleet.Hex(content)] = true
+// prune drops expired records and marks their keys for removal, since keyed topics keep the
+// newest record of each key forever.
+func (s *storedCrashes) prune(now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for content, r := range s.byContent {
+		if r.expired(now) {
+			delete(s.byContent, content)
+			s.stale[fleet.Hex(content)] = true
 		}
 	}
 }
 
-// takeStale returns the keys of records that count no more, once.
-func (k *keptCrashes) takeStale() []string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// drainStale returns the keys of expired records and clears them.
+func (s *storedCrashes) drainStale() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []string
-	for key := range k.stale {
+	for key := range s.stale {
 		out = append(out, key)
 	}
-	clear(k.stale)
+	clear(s.stale)
 	return out
 }
 
-// followCrashes reads what the store keeps of crashes: at relays, and at hosts that are
-// told nothing by others.
+// followCrashes reads crash records from the store, on relays and on hosts that receive no
+// updates from others.
 func (g *Gateway) followCrashes(ctx context.Context) {
-	g.restAtStart(ctx, g.toldOfCrashes)
-	f := g.follower(fleet.TopicCrashes, g.takeCrashRecords, g.takeCrashRecords)
-	f.Told = g.toldOfCrashes
+	g.deferFirstRead(ctx, g.receivesCrashes)
+	f := g.follower(fleet.TopicCrashes, g.applyCrashRecords, g.applyCrashRecords)
+	f.Told = g.receivesCrashes
 	f.Run(ctx)
 }
 
-// toldOfCrashes tells whether this host learns of crashes from another. A claim that was just
-// read is no sign of that, as for other topics: a host that is cut off from the others reads
-// one after the other, and has to know of a block within seconds.
-func (g *Gateway) toldOfCrashes() bool {
-	return !g.mesh.relaying() && g.news.silence(g.Now()) < cutOffFor || g.expectsNews()
+// receivesCrashes reports whether this host learns of crashes from another host. Unlike for
+// other topics, a recent claim does not count: a host that is cut off from the others may still
+// read new claims, and must learn of a block within seconds.
+func (g *Gateway) receivesCrashes() bool {
+	return !g.mesh.isRelay() && g.notices.age(g.Now()) < isolationTimeout || g.expectsUpdates()
 }
 
-func (g *Gateway) takeCrashRecords(b fleet.Batch) {
+func (g *Gateway) applyCrashRecords(b fleet.Batch) {
 	for _, e := range b.Entries {
 		if len(e.Value) == 0 {
-			g.crashesKept.removed(e.Key)
+			g.storedCrashes.removed(e.Key)
 			continue
 		}
-		g.takeCrashRecord(e)
+		g.applyCrashRecord(e)
 	}
 }
 
-func (g *Gateway) takeCrashRecord(e fleet.Entry) {
+func (g *Gateway) applyCrashRecord(e fleet.Entry) {
 	var r crashRecord
 	if err := record.Unmarshal(e.Value, &r); err != nil {
-		g.log.Error("record of crashes is not understood", "key", e.Key, "offset", e.Offset, "error", err.Error())
+		g.log.Error("decoding crash record failed; record ignored", "key", e.Key, "offset", e.Offset, "error", err.Error())
 		return
 	}
 	now := g.Now()
-	if r.over(now) {
-		g.crashesKept.markStale(e.Key)
+	if r.expired(now) {
+		g.storedCrashes.markStale(e.Key)
 		return
 	}
 	age := now.UnixMilli() - r.Written
 	content := contentOf(r)
-	g.crashesKept.set(content, r)
+	g.storedCrashes.set(content, r)
 	for i := range r.Crashes {
 		r.Crashes[i].Ago += max(0, age)
 	}
 	if g.guard.Ledger.Add(now, r.Crashes) {
-		g.wantReport()
+		g.requestReport()
 	}
-	g.takeBlocks(now, r.Blocks)
+	g.mergeBlocks(now, r.Blocks)
 }
 
-// contentOf is the content that a record is about, 0 for an empty one.
+// contentOf returns the content that a record refers to, or 0 for an empty record.
 func contentOf(r crashRecord) uint64 {
 	switch {
 	case len(r.Blocks) > 0:
@@ -183,69 +182,71 @@
 	return 0
 }
 
-// keepCrashes writes to the store what has to outlive the hosts, or cannot reach others.
-func (g *Gateway) keepCrashes(ctx context.Context) {
-	var k keeping
-	every(ctx, keepPeriod, func() {
+// storeCrashes writes to the store crash data that must survive a loss of power, or that this
+// host cannot send to others.
+func (g *Gateway) storeCrashes(ctx context.Context) {
+	var schedule crashStoreSchedule
+	every(ctx, crashStoreInterval, func() {
 		now := g.Now()
-		g.crashesKept.prune(now)
+		g.storedCrashes.prune(now)
 		if g.election.Held() != 0 {
-			g.dropStaleRecords(ctx)
+			g.removeStaleRecords(ctx)
 		}
-		if !k.due(now, g.guard.Ledger.Version(), g.guard.Blocks.Version()) {
+		if !schedule.update(now, g.guard.Ledger.Version(), g.guard.Blocks.Version()) {
 			return
 		}
-		for _, r := range g.recordsToKeep(now, now.Sub(k.blocksAt) >= backupDelay) {
-			g.keep(ctx, r)
+		for _, r := range g.recordsToWrite(now, now.Sub(schedule.blocksAt) >= backupWriteDelay) {
+			g.writeCrashRecord(ctx, r)
 		}
 	})
 }
 
-// keeping is when a host has to look whether the store lacks something.
-type keeping struct {
+// crashStoreSchedule decides when a host checks whether the store lacks crash data.
+type crashStoreSchedule struct {
 	ledger, blocks int64
-	// changed is when it last learned something, blocksAt when of a block.
+	// changed is when crash data last changed, blocksAt when blocks last changed.
 	changed, blocksAt time.Time
 }
 
-func (k *keeping) due(now time.Time, ledger, blocks int64) bool {
-	if blocks != k.blocks {
-		k.blocksAt = now
+// update records the current versions and reports whether a check is due.
+func (s *crashStoreSchedule) update(now time.Time, ledger, blocks int64) bool {
+	if blocks != s.blocks {
+		s.blocksAt = now
 	}
-	if ledger != k.ledger || blocks != k.blocks {
-		k.changed = now
+	if ledger != s.ledger || blocks != s.blocks {
+		s.changed = now
 	}
-	k.ledger, k.blocks = ledger, blocks
-	return now.Sub(k.changed) < keepLooking
+	s.ledger, s.blocks = ledger, blocks
+	return now.Sub(s.changed) < crashStoreActivePeriod
 }
 
-// dropStaleRecords removes records that count no more. Those that the store does not take
-// away now are tried again with the next look.
-func (g *Gateway) dropStaleRecords(ctx context.Context) {
-	for _, key := range g.crashesKept.takeStale() {
+// removeStaleRecords removes expired records from the store. Failed removals are retried on the
+// next pass.
+func (g *Gateway) removeStaleRecords(ctx context.Context) {
+	for _, key := range g.storedCrashes.drainStale() {
 		if _, err := g.store.Put(ctx, fleet.TopicCrashes, key, nil, fleet.AnyOffset); err != nil {
-			g.crashesKept.markStale(key)
+			g.storedCrashes.markStale(key)
 		}
 	}
 }
 
-// recordsToKeep returns records that this host has to write, a few at a time.
-func (g *Gateway) recordsToKeep(now time.Time, backup bool) []crashRecord {
-	controls, cutOff := g.election.Held() != 0, g.news.silence(now) > cutOffFor
+// recordsToWrite returns up to maxRecordsPerWrite records that this host must write.
+func (g *Gateway) recordsToWrite(now time.Time, backup bool) []crashRecord {
+	isController, isolated := g.election.Held() != 0, g.notices.age(now) > isolationTimeout
 	byContent := map[uint64]crashRecord{}
-	if controls || cutOff {
-		least := keptEnds
-		if cutOff && !controls {
-			least = untoldEnds
+	if isController || isolated {
+		minCrashes := minStoredCrashes
+		if isolated && !isController {
+			minCrashes = minStoredCrashesIsolated
 		}
-		for content, crashes := range g.guard.Unexplained(now, least, keptTrial) {
+		for content, crashes := range g.guard.Unexplained(now, minCrashes, minStoredTrialAge) {
 			byContent[content] = crashRecord{Written: now.UnixMilli(), Crashes: crashes}
 		}
 	}
-	if controls || cutOff || backup && g.mesh.relaying() {
+	if isController || isolated || backup && g.mesh.isRelay() {
 		for _, b := range g.guard.Blocks.All(now) {
 			if b.Suspect {
-				continue // The ends in the record tell that.
+				continue // The crashes in the record imply it.
 			}
 			r := byContent[b.Request.Content]
 			r.Written = now.UnixMilli()
@@ -255,22 +256,22 @@
 	}
 	var out []crashRecord
 	for content, r := range byContent {
-		if len(out) < maxKept && g.crashesKept.lacks(content, r) {
+		if len(out) < maxRecordsPerWrite && g.storedCrashes.needsWrite(content, r) {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-func (g *Gateway) keep(ctx context.Context, r crashRecord) {
+func (g *Gateway) writeCrashRecord(ctx context.Context, r crashRecord) {
 	value, err := record.Marshal(r)
 	if err != nil {
-		g.log.Error("record of crashes", "error", err.Error())
+		g.log.Error("encoding crash record failed", "error", err.Error())
 		return
 	}
 	content := contentOf(r)
 	if _, err := g.store.Put(ctx, fleet.TopicCrashes, fleet.Hex(content), value, fleet.AnyOffset); err != nil {
-		return // The next look tries again; reads of the topic log that the store is away.
+		return // Retried on the next pass; the follower logs that the store is unavailable.
 	}
-	g.crashesKept.set(content, r)
+	g.storedCrashes.set(content, r)
 }
--- /dev/null
+++ b/pkg/gateway/entrycache.go
@@ -0,0 +1,76 @@
+package gateway
+
+import (
+	"sync"
+
+	"github.com/tealvane/tealvane/pkg/fleet"
+)
+
+// entryCache holds the raw entries that a host has read from the store, so that it can pass
+// them on to other hosts. It is safe for concurrent use.
+type entryCache struct {
+	mu        sync.Mutex
+	config    fleet.Entry
+	endpoints map[string]fleet.Entry
+	// hosts holds the host entries up to the offset hostsNext.
+	hosts     map[string]fleet.Entry
+	hostsNext int64
+}
+
+func newEntryCache() *entryCache {
+	return &entryCache{endpoints: map[string]fleet.Entry{}, hosts: map[string]fleet.Entry{}}
+}
+
+// addHosts adds host entries that are complete up to the batch's next offset.
+func (c *entryCache) addHosts(b fleet.Batch) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, e := range b.Entries {
+		if old, ok := c.hosts[e.Key]; !ok || old.Offset < e.Offset {
+			c.hosts[e.Key] = e
+		}
+	}
+	c.hostsNext = max(c.hostsNext, b.Next)
+}
+
+// hostsOffset returns the offset up to which host entries are known.
+func (c *entryCache) hostsOffset() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hostsNext
+}
+
+// hostsFrom returns the newest entry of each host that changed at or after an offset.
+func (c *entryCache) hostsFrom(from int64) fleet.Batch {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	b := fleet.Batch{Next: c.hostsNext}
+	for _, e := range c.hosts {
+		if e.Offset >= from {
+			b.Entries = append(b.Entries, e)
+		}
+	}
+	return b
+}
+
+// evict removes the entries of endpoints.
+func (c *entryCache) evict(ids []fleet.EndpointID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, id := range ids {
+		delete(c.endpoints, id.Name())
+	}
+}
+
+// endpointEntries returns the newest entries of endpoints.
+func (c *entryCache) endpointEntries(ids []fleet.EndpointID) []fleet.Entry {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var out []fleet.Entry
+	for _, id := range ids {
+		if e, ok := c.endpoints[id.Name()]; ok {
+			out = append(out, e)
+		}
+	}
+	return out
+}
--- a/pkg/gateway/export_test.go
+++ b/pkg/gateway/export_test.go
@@ -6,69 +6,69 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// ReadinessAddr is where the balancer asks.
-func (g *Gateway) ReadinessAddr() string { return g.readiness.Addr().String() }
+// ReadinessAddr returns the address of the readiness endpoint.
+func (g *Gateway) ReadinessAddr() string { return g.readinessListener.Addr().String() }
 
-// Controls tells whether the host holds the claim.
+// Controls reports whether the host holds the claim.
 func (g *Gateway) Controls() bool { return g.election.Held() != 0 }
 
-// Peers is the number of other hosts known.
+// Peers returns the number of other known hosts.
 func (g *Gateway) Peers() int { return g.mesh.hosts() - 1 }
 
-// Kill ends the host's part in the work of all hosts as a crash does.
+// Kill simulates a crash of the host as seen by other hosts and clients.
 func (g *Gateway) Kill() {
 	_ = g.mesh.node.Close()
-	_ = g.callers.Close()
-	g.leaving.Store(true)
+	_ = g.clientListener.Close()
+	g.stopping.Store(true)
 }
 
-// StoreAway tells whether the host has noticed that the store does not answer.
+// StoreAway reports whether the host has noticed that the store does not respond.
 func (g *Gateway) StoreAway() bool {
-	away, _ := g.reads.ListAway()
+	away, _ := g.storeReads.ListAway()
 	return away
 }
 
-// MayOrder tells whether orders may be given for all that the host knows.
+// MayOrder reports whether the host may issue orders.
 func (g *Gateway) MayOrder() bool { return g.mayOrder() }
 
-// CutPeers cuts the host off from the other hosts; the store and endpoints stay.
+// CutPeers disconnects the host from the other hosts, but not from the store and the endpoints.
 func (g *Gateway) CutPeers() { _ = g.mesh.node.Close() }
 
-// TakeConfig takes in a record of the configuration's topic and returns the version
-// in force after it.
+// TakeConfig applies a record of the configuration topic and returns the version in force
+// afterwards.
 func (g *Gateway) TakeConfig(e fleet.Entry) int64 {
-	g.takeConfig(e)
+	g.applyConfig(e)
 	return g.configVersion()
 }
 
-// HearNotice takes in a notice as if it came from another host.
-func (g *Gateway) HearNotice(n fleet.Notice) { g.takeNotice(g.Now(), n) }
+// HearNotice applies a notice as if received from another host.
+func (g *Gateway) HearNotice(n fleet.Notice) { g.applyNotice(g.Now(), n) }
 
-// ControllerAddr is where this host tells its demand.
+// ControllerAddr returns the address of the controller known to the host.
 func (g *Gateway) ControllerAddr() string { return g.election.Newest().Holder.Addr }
 
-// ListAge is how long ago the store answered a read of the list of endpoints.
+// ListAge returns the time since the store last answered a read of the list of endpoints.
 func (g *Gateway) ListAge() time.Duration { return g.listAge(g.Now()) }
 
-// Confirmed tells whether the controller has confirmed this host's list of endpoints.
+// Confirmed reports whether the controller confirms this host's list of endpoints.
 func (g *Gateway) Confirmed() bool { return g.listConfirmed() }
 
-// ListOffset is the offset up to which the host knows the list of endpoints.
+// ListOffset returns the offset up to which the host knows the list of endpoints.
 func (g *Gateway) ListOffset() int64 { return g.directory.Offset() }
 
-// LiveEndpoints is the number of endpoints that the host takes for alive.
+// LiveEndpoints returns the number of endpoints that the host considers alive.
 func (g *Gateway) LiveEndpoints() int { return len(g.directory.Live(g.Now())) }
 
-// Silence is for how long this host has not been told what happens.
-func (g *Gateway) Silence() time.Duration { return g.news.silence(g.Now()) }
+// Silence returns the time since the host last received an update.
+func (g *Gateway) Silence() time.Duration { return g.notices.age(g.Now()) }
 
-// Blocks is the number of requests that this host keeps from endpoints.
+// Blocks returns the number of requests that the host blocks.
 func (g *Gateway) Blocks() int { return g.guard.Blocks.Count() }
 
-// ToldInTime tells whether other hosts have told this one what happens while it waited for
-// that after its start.
+// ToldInTime reports whether the host received its first update well within the startup grace
+// period.
 func (g *Gateway) ToldInTime() bool {
-	g.news.mu.Lock()
-	defer g.news.mu.Unlock()
-	return !g.news.first.IsZero() && g.news.first.Sub(g.started) < startGrace*4/5
+	g.notices.mu.Lock()
+	defer g.notices.mu.Unlock()
+	return !g.notices.firstResponse.IsZero() && g.notices.firstResponse.Sub(g.started) < startupGracePeriod*4/5
 }
--- a/pkg/gateway/follow.go
+++ b/pkg/gateway/follow.go
@@ -14,293 +14,290 @@
 )
 
 const (
-	// longPoll is how long a read waits for records of topics that change
-	// seldom. Each call has a price; connections may fall silent, and a read
-	// without an answer is given up after this time; other hosts tell of a newer
-	// configuration meanwhile.
-	longPoll = 15 * time.Second
-	// listPoll is the longest period of reads of the list of endpoints, which
-	// changes all the time.
-	listPoll = 700 * time.Millisecond
-	// listReads is how often the list is read at least in the time in which a
-	// leaving endpoint must have been noticed.
-	listReads = 3
-	// confirmedListPoll is the period while the controller reads the list and passes
-	// on in its notices what has changed. Where the store keeps a shorter history, a read
-	// starts anew from the newest entries.
-	confirmedListPoll = 10 * time.Second
-	// confirmedFor is how old what is known of the list may be for that: the age of the
-	// controller's read and the pause of its notices, with a notice that was lost.
-	// confirmedParts bounds it by a part of the time in which a leaving endpoint must
-	// have been noticed, so that a read of this host's own still comes in time.
-	confirmedFor   = 1100 * time.Millisecond
-	confirmedParts = 2
-	// controllerListPoll is the period while this host gives orders: what endpoints
-	// say of themselves corrects what it believes.
-	controllerListPoll = 350 * time.Millisecond
-	// leafListPoll is, for each host, the period in which hosts read the list that are told
-	// by others which cannot read it either, so that all together make some twenty calls
-	// a second.
-	leafListPoll = 50 * time.Millisecond
-	// toldListPoll is the period of a host that learns all topics from others.
-	toldListPoll = time.Minute
-	// gatherTime is for how long entries of hosts are gathered, about the time in which
-	// hosts start that are started together, and gatherHost how much longer for each
-	// host: each of many that start in turn woke all others.
-	gatherTime = 300 * time.Millisecond
-	gatherHost = 3 * time.Millisecond
-	// listWakeParts is the part, as a divisor, of the time in which a leaving endpoint must have
-	// been noticed that separates two reads of the list that were asked for by what another
-	// host has told: at a start each of its answers asks for one.
-	listWakeParts = 4
-	// startGrace is for how long a host that has just started rests its reads, since others
-	// will tell it: a relay has read the entries of hosts and the claim by then.
-	startGrace = 1500 * time.Millisecond
-	// startLook is how often a host that rests its first reads looks whether others tell it.
-	startLook = 50 * time.Millisecond
-	// storeRetry is the pause after a write that failed.
-	storeRetry = 250 * time.Millisecond
+	// longPollTimeout is how long a read waits for new records of topics that rarely change. A
+	// read whose connection has failed silently is abandoned after this time.
+	longPollTimeout = 15 * time.Second
+	// maxListPollInterval is the longest interval between reads of the list of endpoints,
+	// unless the controller confirms it.
+	maxListPollInterval = 700 * time.Millisecond
+	// listReadsPerDrain is the minimum number of reads of the list within the drain time of an
+	// endpoint.
+	listReadsPerDrain = 3
+	// confirmedListPollInterval is the interval while the controller reads the list and sends
+	// its changes in notices. Where the store keeps less history than this, a read starts over
+	// from the newest entries.
+	confirmedListPollInterval = 10 * time.Second
+	// maxConfirmationAge bounds the age of the controller's last confirmation of the list,
+	// allowing for one lost notice. The age is also bounded by the drain time divided by
+	// confirmationDrainDivisor, which leaves time for a read by this host.
+	maxConfirmationAge       = 1100 * time.Millisecond
+	confirmationDrainDivisor = 2
+	// controllerListPollInterval is the interval on the controller, whose model of the
+	// endpoints is corrected by what they report.
+	controllerListPollInterval = 350 * time.Millisecond
+	// leafListPollIntervalPerHost, times the number of hosts, is the interval on hosts whose
+	// upstream cannot read the list either. It bounds the read rate of all hosts together.
+	leafListPollIntervalPerHost = 50 * time.Millisecond
+	// passiveListPollInterval is the interval on a host that receives all topics from others.
+	passiveListPollInterval = time.Minute
+	// hostBatchDelay is how long host entries are collected before they are read, which is
+	// about how long hosts that are started together take to write them. hostBatchDelayPerHost
+	// is added for each known host, to limit wakeups when many hosts start one after the other.
+	hostBatchDelay        = 300 * time.Millisecond
+	hostBatchDelayPerHost = 3 * time.Millisecond
+	// listWakeDrainDivisor divides the drain time to give the minimum interval between reads of
+	// the list that notices from other hosts trigger.
+	listWakeDrainDivisor = 4
+	// startupGracePeriod is how long a starting host defers reads in the expectation that other
+	// hosts send it the data.
+	startupGracePeriod = 1500 * time.Millisecond
+	// startupCheckInterval is how often a host that defers its first reads checks whether to go
+	// on doing so.
+	startupCheckInterval = 50 * time.Millisecond
+	// storeRetryDelay is the delay after a failed write.
+	storeRetryDelay = 250 * time.Millisecond
 )
 
 // follower returns a follower of a topic.
 func (g *Gateway) follower(t fleet.Topic, reset, apply func(fleet.Batch)) *follow.Follower {
 	return &follow.Follower{
 		Store:  g.store,
-		State:  g.reads,
+		State:  g.storeReads,
 		Log:    g.log,
 		Topic:  t,
-		Wait:   longPoll,
-		Told:   g.isToldOrWillBe,
+		Wait:   longPollTimeout,
+		Told:   g.receivesOrExpectsUpdates,
 		Reset:  reset,
 		Apply:  apply,
-		Result: func(err error) { g.noteStore(t, err) },
+		Result: func(err error) { g.recordStoreResult(t, err) },
 	}
 }
 
-// noteStore logs a lost or regained store once.
-func (g *Gateway) noteStore(t fleet.Topic, err error) {
+// recordStoreResult records the result of a store read, and logs when the store becomes
+// unavailable or available again.
+func (g *Gateway) recordStoreResult(t fleet.Topic, err error) {
 	now := g.Now()
-	changed := g.reads.Answered(t, now, err)
+	changed := g.storeReads.Answered(t, now, err)
 	if t == fleet.TopicEndpoints {
 		g.directory.StoreState(now, err == nil)
 	}
 	switch {
 	case changed && err != nil:
-		g.log.Warn("store lost", "topic", t, "error", err.Error())
+		g.log.Warn("store unavailable", "topic", t, "error", err.Error())
 		g.metrics.count("store_lost", nil)
 	case changed:
-		g.log.Info("store answers", "topic", t)
+		g.log.Info("store available", "topic", t)
 	}
 }
 
 func (g *Gateway) followConfig(ctx context.Context) {
-	f := g.follower(fleet.TopicConfig, g.takeConfigs, g.takeConfigs)
-	f.Told = func() bool { return g.isToldOrWillBe() && !g.lacksConfig() }
-	f.Failed = g.askPeer
+	f := g.follower(fleet.TopicConfig, g.applyConfigs, g.applyConfigs)
+	f.Told = func() bool { return g.receivesOrExpectsUpdates() && !g.missedNewerConfig() }
+	f.Failed = g.fetchState
 	f.Run(ctx)
 }
 
-func (g *Gateway) takeConfigs(b fleet.Batch) {
+func (g *Gateway) applyConfigs(b fleet.Batch) {
 	for _, e := range b.Entries {
-		g.takeConfig(e)
+		g.applyConfig(e)
 	}
 }
 
-// takeConfig puts a configuration in force if it is newer: records may be read
-// again, and another host's copy may be old.
-func (g *Gateway) takeConfig(e fleet.Entry) {
+// applyConfig puts a configuration in force if it is newer than the current one. Records may be
+// read twice, and another host's copy may be outdated.
+func (g *Gateway) applyConfig(e fleet.Entry) {
 	c, isConfig, err := g.codec.Config(e)
 	if !isConfig {
 		return
 	}
 	if err != nil {
-		g.log.Error("configuration is not understood; the last one stays in force", "offset", e.Offset, "error", err)
+		g.log.Error("decoding configuration failed; keeping the current one", "offset", e.Offset, "error", err)
 		return
 	}
-	g.feed.mu.Lock()
-	defer g.feed.mu.Unlock()
+	g.cache.mu.Lock()
+	defer g.cache.mu.Unlock()
 	if old := g.config.Load(); old != nil && old.Version >= c.Version {
 		return
 	}
 	g.config.Store(c)
-	g.feed.config = e
+	g.cache.config = e
 	g.log.Info("configuration in force", "version", c.Version, "offset", e.Offset, "routes", len(c.Routes))
-	signal(g.noticeNow)
+	trySend(g.stepNow)
 	g.children.wake()
 }
 
 func (g *Gateway) followEndpoints(ctx context.Context) {
-	f := g.follower(fleet.TopicEndpoints, g.resetEndpoints, g.takeEndpoints)
+	f := g.follower(fleet.TopicEndpoints, g.replaceEndpoints, g.applyEndpoints)
 	f.Wait = 0
 	f.Told = nil
-	f.Pause = g.listPause
-	f.FailedPause = g.leafListPause
-	f.Wake = g.listNow
-	f.WakePause = g.settings.Timing.Drain / listWakeParts
-	f.Failed = g.askPeer
+	f.Pause = g.listPollInterval
+	f.FailedPause = g.leafListPollInterval
+	f.Wake = g.listReadNow
+	f.WakePause = g.settings.Timing.Drain / listWakeDrainDivisor
+	f.Failed = g.fetchState
 	f.Run(ctx)
 }
 
-// listPause is the pause between two reads of the list of endpoints.
-func (g *Gateway) listPause() time.Duration {
+// listPollInterval returns the pause between two reads of the list of endpoints.
+func (g *Gateway) listPollInterval() time.Duration {
 	if g.election.Held() != 0 {
-		return controllerListPoll
+		return controllerListPollInterval
 	}
-	told, confirmed := g.isTold(), g.listConfirmed()
+	updated, confirmed := g.receivesUpdates(), g.listConfirmed()
 	switch {
-	case told && confirmed:
-		return toldListPoll
-	case told:
-		return g.leafListPause()
+	case updated && confirmed:
+		return passiveListPollInterval
+	case updated:
+		return g.leafListPollInterval()
 	case confirmed:
-		return confirmedListPoll
-	case g.mesh.relaying() && g.mesh.hosts() > relay.Children(g.settings.cores()):
-		// The controller does not confirm the list: it is cut off from the store. All hosts
-		// behind this one rest on its reads.
-		return controllerListPoll
+		return confirmedListPollInterval
+	case g.mesh.isRelay() && g.mesh.hosts() > relay.Children(g.settings.cores()):
+		// The controller does not confirm the list because it cannot reach the store. All hosts
+		// behind this one depend on its reads.
+		return controllerListPollInterval
 	}
-	return min(listPoll, g.settings.Timing.Drain/listReads)
+	return min(maxListPollInterval, g.settings.Timing.Drain/listReadsPerDrain)
 }
 
-// leafListPause is the pause after a read of the list that failed, or while nobody
-// confirms it, of a host that is told by others.
-func (g *Gateway) leafListPause() time.Duration {
-	if !g.isTold() {
+// leafListPollInterval returns the pause, on a host that receives updates, after a failed read
+// of the list or while the controller does not confirm it. It returns 0 on other hosts.
+func (g *Gateway) leafListPollInterval() time.Duration {
+	if !g.receivesUpdates() {
 		return 0
 	}
-	return max(listPoll, time.Duration(g.mesh.hosts())*leafListPoll)
+	return max(maxListPollInterval, time.Duration(g.mesh.hosts())*leafListPollIntervalPerHost)
 }
 
-// isTold tells whether this host learns all topics from others. A few hosts of each zone
-// read them in any case, so that what is passed on does not hang on one host: those that
-// others ask, or would ask next.
+// receivesUpdates reports whether this host learns all topics from others. Relays, and the
+// hosts that would replace them, always read the topics themselves, so that updates do not
+// depend on a single host.
 //
-// A claim that was just seen is a sign that its holder will speak, but not for long: hosts that
-// are cut off read one claim after the other, and nobody speaks to them.
-func (g *Gateway) isTold() bool {
+// A recent claim counts as an upcoming update from its holder, but only for a limited time:
+// hosts that are cut off from the others see a series of claims without any update.
+func (g *Gateway) receivesUpdates() bool {
 	now := g.Now()
-	if g.mesh.relaying() {
+	if g.mesh.isRelay() {
 		return false
 	}
-	// A controller that dies is replaced, and its successor heard, within twice firstNews.
-	silence := min(g.news.silence(now), now.Sub(g.started))
-	return g.news.recent(now) || silence < 2*firstNews && g.mesh.claimedLately(now)
+	// A dead controller is replaced, and its successor heard, within twice firstNoticeTimeout.
+	sinceUpdate := min(g.notices.age(now), now.Sub(g.started))
+	return g.notices.recent(now) || sinceUpdate < 2*firstNoticeTimeout && g.mesh.claimSeenRecently(now)
 }
 
-// isToldOrWillBe tells whether this host learns all topics from others, or has just started
-// and will.
-func (g *Gateway) isToldOrWillBe() bool { return g.isTold() || g.expectsNews() }
+// receivesOrExpectsUpdates reports whether this host learns all topics from others, or has just
+// started and is about to.
+func (g *Gateway) receivesOrExpectsUpdates() bool { return g.receivesUpdates() || g.expectsUpdates() }
 
-// expectsNews tells whether this host has just started and others will tell it what the
-// store holds. As long as it does not know the others it cannot know that: of hosts that
-// start together the first ones find few entries, and would take themselves for relays.
-func (g *Gateway) expectsNews() bool {
+// expectsUpdates reports whether this host has just started and other hosts are about to send
+// it the contents of the store. Until all hosts that start at the same time are known, any of
+// them may wrongly appear to be a relay.
+func (g *Gateway) expectsUpdates() bool {
 	now := g.Now()
-	if now.Sub(g.started) > startGrace {
+	if now.Sub(g.started) > startupGracePeriod {
 		return false
 	}
-	return !g.reads.Loaded(fleet.TopicHosts) || !g.mesh.settled(now) || !g.mesh.relaying()
+	return !g.storeReads.Loaded(fleet.TopicHosts) || !g.mesh.membershipStable(now) || !g.mesh.isRelay()
 }
 
-// listConfirmed tells whether the controller passes on what changes in the list.
+// listConfirmed reports whether the controller keeps confirming this host's list of endpoints.
 func (g *Gateway) listConfirmed() bool {
-	return g.mesh.confirmedAge(g.Now()) < min(confirmedFor, g.settings.Timing.Drain/confirmedParts)
+	return g.mesh.confirmedListAge(g.Now()) < min(maxConfirmationAge, g.settings.Timing.Drain/confirmationDrainDivisor)
 }
 
-// viewAge is how old what this host knows of the list of endpoints is at most: it
-// was read from the store, or the controller has told that nothing else changed.
-func (g *Gateway) viewAge(now time.Time) time.Duration {
-	return min(g.listAge(now), g.mesh.confirmedAge(now))
+// listViewAge returns the maximum age of this host's list of endpoints, which was either read
+// from the store or confirmed by the controller.
+func (g *Gateway) listViewAge(now time.Time) time.Duration {
+	return min(g.listAge(now), g.mesh.confirmedListAge(now))
 }
 
-func (g *Gateway) resetEndpoints(b fleet.Batch) {
-	g.replaceList(b)
+func (g *Gateway) replaceEndpoints(b fleet.Batch) {
+	g.replaceDirectory(b)
 	g.endpointsChanged()
 }
 
-func (g *Gateway) replaceList(b fleet.Batch) {
+func (g *Gateway) replaceDirectory(b fleet.Batch) {
 	g.listMu.Lock()
 	defer g.listMu.Unlock()
 	list := make(map[int64]fleet.Endpoint, len(b.Entries))
 	raw := make(map[string]fleet.Entry, len(b.Entries))
 	for _, entry := range b.Entries {
 		raw[entry.Key] = entry
-		list[entry.Offset] = g.endpoint(entry)
+		list[entry.Offset] = g.decodeEndpoint(entry)
 	}
-	g.feed.mu.Lock()
-	g.feed.endpoints = raw
-	g.feed.mu.Unlock()
+	g.cache.mu.Lock()
+	g.cache.endpoints = raw
+	g.cache.mu.Unlock()
 	g.directory.Replace(g.Now(), b.Next, list)
 }
 
-func (g *Gateway) endpoint(entry fleet.Entry) fleet.Endpoint {
+func (g *Gateway) decodeEndpoint(entry fleet.Entry) fleet.Endpoint {
 	e, err := g.codec.Endpoint(entry)
 	if err != nil {
 		g.metrics.count("entries_not_understood", nil)
-		g.log.Warn("entry is not understood; no requests go to an endpoint of this name until it writes again", "endpoint", entry.Key, "offset", entry.Offset, "error", err.Error())
+		g.log.Warn("decoding endpoint entry failed; no requests are sent to this endpoint until its next entry", "endpoint", entry.Key, "offset", entry.Offset, "error", err.Error())
 	}
 	return e
 }
 
-func (g *Gateway) takeEndpoints(b fleet.Batch) {
+func (g *Gateway) applyEndpoints(b fleet.Batch) {
 	if len(b.Entries) == 0 {
 		return
 	}
-	g.applyList(b)
+	g.updateDirectory(b)
 	g.endpointsChanged()
 }
 
-func (g *Gateway) applyList(b fleet.Batch) {
+func (g *Gateway) updateDirectory(b fleet.Batch) {
 	g.listMu.Lock()
 	defer g.listMu.Unlock()
 	now := g.Now()
 	for _, entry := range b.Entries {
-		g.feed.mu.Lock()
-		if old, ok := g.feed.endpoints[entry.Key]; !ok || old.Offset < entry.Offset {
-			g.feed.endpoints[entry.Key] = entry
+		g.cache.mu.Lock()
+		if old, ok := g.cache.endpoints[entry.Key]; !ok || old.Offset < entry.Offset {
+			g.cache.endpoints[entry.Key] = entry
 		}
-		g.feed.mu.Unlock()
+		g.cache.mu.Unlock()
 		if len(entry.Value) == 0 {
-			g.log.Info("endpoint is gone from the list", "endpoint", entry.Key, "offset", entry.Offset)
+			g.log.Info("endpoint removed from the list", "endpoint", entry.Key, "offset", entry.Offset)
 			g.directory.Remove(now, entry.Offset, fleet.NewEndpointID(entry.Key, 0))
 			continue
 		}
-		g.directory.Apply(now, entry.Offset, g.endpoint(entry))
+		g.directory.Apply(now, entry.Offset, g.decodeEndpoint(entry))
 	}
 }
 
 func (g *Gateway) endpointsChanged() {
-	// An entry may be new here of an endpoint that has said already that it leaves.
+	// The entry may be new for an endpoint that has already announced that it is leaving.
 	for _, id := range g.health.Signals.Leaving() {
 		g.directory.Leave(id)
 	}
 	g.board.Changed()
 	g.dispatcher.Kick()
-	signal(g.noticeNow)
+	trySend(g.stepNow)
 	g.children.wake()
 }
 
-// hostEntry is what a host writes of itself once at its start.
+// hostEntry is the entry that a host writes to the store when it starts.
 type hostEntry struct {
 	Addr        string           `cbor:"1,keyasint"`
 	Incarnation string           `cbor:"2,keyasint"`
 	Fingerprint peer.Fingerprint `cbor:"3,keyasint"`
 	Zone        string           `cbor:"4,keyasint,omitempty"`
-	// Cores is the processor that the host has, 0 if it does not state it.
+	// Cores is the host's CPU capacity in cores, or 0 if not configured.
 	Cores float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// announce writes where other hosts reach this one and by which key.
+// announce writes this host's entry, which holds its address and key.
 func (g *Gateway) announce(ctx context.Context) {
 	value, err := record.Marshal(hostEntry{
 		Addr:        g.self.Addr,
 		Incarnation: g.self.Incarnation,
-		Fingerprint: g.mesh.own,
+		Fingerprint: g.mesh.fingerprint,
 		Zone:        g.settings.Zone,
 		Cores:       g.settings.cores(),
 	})
 	if err != nil {
-		g.log.Error("own entry", "error", err)
+		g.log.Error("encoding host entry failed", "error", err)
 		return
 	}
 	for ctx.Err() == nil {
@@ -308,96 +305,96 @@
 			g.announced.Store(true)
 			return
 		}
-		wait.For(ctx, wait.Jitter(storeRetry))
+		wait.For(ctx, wait.Jitter(storeRetryDelay))
 	}
 }
 
 func (g *Gateway) followHosts(ctx context.Context) {
-	take := func(b fleet.Batch) {
-		g.takeHosts(b)
+	apply := func(b fleet.Batch) {
+		g.applyHosts(b)
 	}
-	f := g.follower(fleet.TopicHosts, take, take)
-	f.Gather = g.gatherHosts
-	// Of hosts that start together, one that read at once would find few of the others, and
+	f := g.follower(fleet.TopicHosts, apply, apply)
+	f.Gather = g.hostBatchWindow
+	// Hosts that start together would find few entries if they read at once, and would have to
 	// read again.
-	wait.For(ctx, gatherTime)
-	// A host that has just started has to know its relay's new key before it can be told
-	// anything: it does not rest on the word of a controller that it cannot hear yet.
+	wait.For(ctx, hostBatchDelay)
+	// A starting host must know its relay's new key before it can receive updates from it. A
+	// claim alone is not sufficient here.
 	f.Told = func() bool {
 		now := g.Now()
-		return !g.mesh.relaying() && (g.news.recent(now) || g.mesh.settled(now) && g.expectsNews())
+		return !g.mesh.isRelay() && (g.notices.recent(now) || g.mesh.membershipStable(now) && g.expectsUpdates())
 	}
 	f.Run(ctx)
 }
 
-// gatherHosts is for how long entries of hosts are gathered. Relays read them sooner: they
-// are few, and have to know a host before they tell it anything.
-func (g *Gateway) gatherHosts() time.Duration {
-	if g.mesh.relaying() {
-		return gatherTime
+// hostBatchWindow returns how long host entries are collected before they are read. Relays read
+// them sooner, since they must know a host before they serve its pulls.
+func (g *Gateway) hostBatchWindow() time.Duration {
+	if g.mesh.isRelay() {
+		return hostBatchDelay
 	}
-	return gatherTime + time.Duration(g.mesh.hosts())*gatherHost
+	return hostBatchDelay + time.Duration(g.mesh.hosts())*hostBatchDelayPerHost
 }
 
-// takeHosts takes in entries of hosts that are complete up to an offset.
-func (g *Gateway) takeHosts(b fleet.Batch) {
+// applyHosts applies host entries that are complete up to the batch's next offset.
+func (g *Gateway) applyHosts(b fleet.Batch) {
 	for _, e := range b.Entries {
-		g.takeHost(e)
+		g.applyHost(e)
 	}
-	g.feed.takeHosts(b)
+	g.cache.addHosts(b)
 	g.budget.SetHosts(g.mesh.hosts())
 	g.health.Signals.SetHosts(g.self.Host, g.mesh.names())
 	g.children.wake()
 }
 
-func (g *Gateway) takeHost(e fleet.Entry) {
+func (g *Gateway) applyHost(e fleet.Entry) {
 	var h hostEntry
 	if err := record.Unmarshal(e.Value, &h); err != nil {
-		g.log.Error("host's entry is not understood", "peer", e.Key, "error", err)
+		g.log.Error("decoding host entry failed; entry ignored", "peer", e.Key, "error", err)
 		return
 	}
-	g.mesh.learn(e.Key, h)
+	g.mesh.updatePeer(e.Key, h)
 	g.election.Restarted(e.Key, h.Incarnation)
 }
 
-// restAtStart rests, before a topic is read for the first time, as long as this host is told what
-// stands there, or will be: a minute at most, as between two reads.
-func (g *Gateway) restAtStart(ctx context.Context, told func() bool) {
-	for g.Now().Sub(g.started) < toldListPoll && told() {
-		if !wait.For(ctx, startLook) {
+// deferFirstRead delays the first read of a topic while provided reports that other hosts
+// provide its contents, for at most passiveListPollInterval after the start.
+func (g *Gateway) deferFirstRead(ctx context.Context, provided func() bool) {
+	for g.Now().Sub(g.started) < passiveListPollInterval && provided() {
+		if !wait.For(ctx, startupCheckInterval) {
 			return
 		}
 	}
 }
 
 func (g *Gateway) followClaims(ctx context.Context) {
-	// A host that others ask is among the first to claim; the rest learns from it who has.
-	g.restAtStart(ctx, g.isToldOrWillBe)
-	take := func(b fleet.Batch) {
+	// Relays are among the first to claim. Other hosts learn of the claim from them.
+	g.deferFirstRead(ctx, g.receivesOrExpectsUpdates)
+	apply := func(b fleet.Batch) {
 		for _, e := range b.Entries {
-			g.takeClaim(e)
+			g.applyClaim(e)
 		}
 		g.mesh.setClaimsNext(b.Next)
 		g.election.Caught()
 	}
-	g.follower(fleet.TopicClaims, take, take).Run(ctx)
+	g.follower(fleet.TopicClaims, apply, apply).Run(ctx)
 }
 
-func (g *Gateway) takeClaim(e fleet.Entry) {
+func (g *Gateway) applyClaim(e fleet.Entry) {
 	var h orders.Holder
 	if err := record.Unmarshal(e.Value, &h); err != nil {
-		g.log.Error("claim is not understood", "offset", e.Offset, "error", err)
+		g.log.Error("decoding claim failed; claim ignored", "offset", e.Offset, "error", err)
 		return
 	}
 	before := g.election.Newest().Token
-	claim := orders.Claim{Holder: h, Token: token(e.Offset)}
+	claim := orders.Claim{Holder: h, Token: claimToken(e.Offset)}
 	g.election.Observe(g.Now(), claim)
 	if claim.Token > before {
-		g.mesh.noteClaim(g.Now())
+		g.mesh.recordClaim(g.Now())
 		g.children.wake()
-		g.log.Info("claim", "holder", h.Host, "token", claim.Token, "released", h.Released)
+		g.log.Info("new claim", "holder", h.Host, "token", claim.Token, "released", h.Released)
 	}
 }
 
-// token turns the offset of a claim into a fencing token, which is positive.
-func token(offset int64) int64 { return offset + 1 }
+// claimToken returns the fencing token of the claim at an offset. Tokens are positive.
+func claimToken(offset int64) int64 { return offset + 1 }
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway assembles one entry host on the platform: it follows the
-// platform's store, speaks with the other hosts, takes requests and, while it
-// holds the claim, gives orders to endpoints.
+// Package gateway assembles an entry host for the platform: it follows the platform's store,
+// exchanges state with the other hosts and serves requests. While it holds the claim it is the
+// controller, which orders endpoints to load and unload models.
 package gateway
 
 import (
@@ -27,44 +27,44 @@
 )
 
 const (
-	// retryShare is the part of the retry budget that hosts use together. The
-	// rest covers windows that hosts cut differently.
+	// retryShare is the fraction of the retry budget that the hosts use. The rest allows for
+	// retry windows that are not aligned between hosts.
 	retryShare = 0.7
-	// connectionShare is the part of an endpoint's connections that hosts open
-	// together. Endpoints accept fewer while their queue is long.
+	// connectionShare is the fraction of an endpoint's connection limit that the hosts use
+	// together. Endpoints accept fewer connections while their queue is long.
 	connectionShare = 0.8
-	// minConnections is the least number of connections of one host, so that
-	// reports and orders go through beside requests.
+	// minConnections is the minimum number of connections of one host to an endpoint, so that
+	// reports and orders are not blocked by requests.
 	minConnections = 4
 )
 
-// Endpoints calls endpoints.
+// Endpoints is the client of the endpoints.
 type Endpoints interface {
 	serve.Backend
 	orders.Orderer
-	// Ended tells whether an incarnation of an endpoint has ended. An error says that
-	// this is not known.
+	// Ended reports whether an incarnation of an endpoint has ended. An error means that this
+	// is unknown.
 	Ended(ctx context.Context, e fleet.Endpoint) (bool, error)
-	// Retain closes the connections to endpoints that are gone.
+	// Retain closes the connections to all endpoints that are not in live.
 	Retain(live map[fleet.EndpointID]bool)
-	// Opened is the number of connections made to the endpoints in use.
+	// Opened returns the number of connections opened to the endpoints in use.
 	Opened() int
 }
 
-// Config is what a host needs from outside.
+// Config holds the dependencies of a host.
 type Config struct {
 	Settings Settings
 	Store    fleet.Store
 	Codec    fleet.Codec
-	// Endpoints makes the client of endpoints.
+	// Endpoints creates the client of the endpoints.
 	Endpoints func(now func() time.Time, limit func(fleet.Endpoint) int) Endpoints
-	// Door makes the handler of clients' requests.
+	// Door creates the handler of client requests.
 	Door   func(*Gateway) http.Handler
 	Logger *slog.Logger
 	Tracer trace.TracerProvider
 }
 
-// Gateway is one entry host.
+// Gateway is an entry host.
 type Gateway struct {
 	settings  Settings
 	self      orders.Holder
@@ -75,14 +75,14 @@
 	endpoints Endpoints
 
 	config atomic.Pointer[fleet.Config]
-	// listMu is held while a batch of the list of endpoints is taken in, and while an
-	// answer is made of it. An answer that names an entry has to name all changes
-	// before it, or its host takes its list for complete and never hears of them.
-	listMu    sync.Mutex
-	feed      *feed
-	reads     *follow.State
-	directory *fleet.Directory
-	board     *fleet.Board
+	// listMu is held while a batch of list entries is applied and while a response is built
+	// from the list. A response that includes an entry must include all changes before it,
+	// since its receiver then considers its list complete up to that entry.
+	listMu     sync.Mutex
+	cache      *entryCache
+	storeReads *follow.State
+	directory  *fleet.Directory
+	board      *fleet.Board
 
 	health     *serve.Health
 	dispatcher *serve.Dispatcher
@@ -93,67 +93,68 @@
 	lease      *orders.HolderLease
 	controller *orders.Controller
 	mesh       *mesh
-	// children are the hosts that ask this one, sums what they need, and news what this
-	// one was told itself.
-	children *children
-	sums     *relay.Sums
-	news     news
-	// guard keeps requests that crash endpoints from them; crashesTold is which crashes other
-	// hosts were told, and crashesKept what the store holds.
-	guard       *quarantine.Guard
-	crashesTold *crashesTold
-	crashesKept *keptCrashes
-	// blocks and signals tell other hosts which requests are blocked, and what endpoints say of
-	// themselves.
-	blocks  shared[fleet.Block]
-	signals shared[fleet.EndpointSignal]
-	// accounts keeps client accounts within what they may ask.
+	// children tracks the hosts that pull from this one, demandSums their demand, and notices
+	// the notices received from the upstream host.
+	children   *children
+	demandSums *relay.Sums
+	notices    noticeTracker
+	// guard blocks requests that crash endpoints. crashCursors tracks which crashes other hosts
+	// have received, storedCrashes what the store holds.
+	guard         *quarantine.Guard
+	crashCursors  *crashCursors
+	storedCrashes *storedCrashes
+	// blocks and signals replicate the blocked requests and the endpoint signals to other
+	// hosts.
+	blocks  replicatedSet[fleet.Block]
+	signals replicatedSet[fleet.EndpointSignal]
+	// accounts enforces the rate limits of client accounts.
 	accounts *accounts
-	// reports counts the demand reports, heardStamp is the last time stamp of a controller
-	// that was heard, and started the zero of this host's own.
-	reports    atomic.Int64
-	heardStamp atomic.Pointer[stamp]
-	started    time.Time
-	// reportNow asks for a demand report at once.
+	// reports counts the demand reports. lastStamp is the last controller stamp received, and
+	// started is the origin of this host's own stamps.
+	reports   atomic.Int64
+	lastStamp atomic.Pointer[stamp]
+	started   time.Time
+	// reportNow triggers a demand report.
 	reportNow chan struct{}
-	// noticeNow asks the controller for a step at once.
-	noticeNow chan struct{}
-	// listNow asks for a read of the list of endpoints at once.
-	listNow chan struct{}
-	// configMissed is the newest version that another host knew and did not pass on in time.
-	configMissed atomic.Int64
-	// serving is set once callers are served, leaving once the host stops.
-	serving atomic.Bool
-	leaving atomic.Bool
-	// announced is set once this incarnation stands in the store.
+	// stepNow triggers a step of the controller.
+	stepNow chan struct{}
+	// listReadNow triggers a read of the list of endpoints.
+	listReadNow chan struct{}
+	// missedConfigVersion is the newest configuration version that another host has but failed
+	// to send in time.
+	missedConfigVersion atomic.Int64
+	// serving is set once client requests are served, stopping once shutdown begins.
+	serving  atomic.Bool
+	stopping atomic.Bool
+	// announced is set once the entry of this incarnation is in the store.
 	announced atomic.Bool
 
-	callers   net.Listener
-	readiness net.Listener
-	metricsOn net.Listener
-	handler   http.Handler
+	clientListener    net.Listener
+	readinessListener net.Listener
+	metricsListener   net.Listener
+	handler           http.Handler
 }
 
-// New opens the listeners of a host; Run serves them.
+// New creates a host and opens its listeners. Run serves them.
 func New(cfg Config) (*Gateway, error) {
 	s := cfg.Settings
 	g := &Gateway{
-		settings:  s,
-		codec:     cfg.Codec,
-		metrics:   newMetrics(),
-		directory: fleet.NewDirectory(),
-		health:    serve.NewHealth(),
-		budget:    retry.NewBudget(s.retryLimits(), retryShare),
-		reportNow: make(chan struct{}, 1),
-		noticeNow: make(chan struct{}, 1),
-		listNow:   make(chan struct{}, 1),
-		feed:      newFeed(),
-		reads:     follow.NewState(),
-		children:  newChildren(),
-		sums:      relay.NewSums(),
+		settings:    s,
+		codec:       cfg.Codec,
+		metrics:     newMetrics(),
+		directory:   fleet.NewDirectory(),
+		health:      serve.NewHealth(),
+		budget:      retry.NewBudget(s.retryLimits(), retryShare),
+		reportNow:   make(chan struct{}, 1),
+		stepNow:     make(chan struct{}, 1),
+		listReadNow: make(chan struct{}, 1),
+		cache:       newEntryCache(),
+		storeReads:  follow.NewState(),
+		children:    newChildren(),
+		demandSums:  relay.NewSums(),
 
-		crashesTold: newCrashesTold(),
-		crashesKept: newKeptCrashes(),
+		crashCursors:  newCrashCursors(),
+		storedCrashes: newStoredCrashes(),
 	}
 	calls := follow.NewCalls(cfg.Store)
 	calls.Count = func(t fleet.Topic) { g.metrics.count("store_calls", map[string]string{"topic": t.String()}) }
@@ -162,8 +163,8 @@
 	g.log = cfg.Logger.With("host", s.Host, "incarnation", g.self.Incarnation)
 	g.board = fleet.NewBoard(g.directory)
 	g.health.Signals.Changed = g.signalChanged
-	g.endpoints = limitedEndpoints{cfg.Endpoints(g.Now, g.connectionLimit), g.mayCall}
-	g.dispatcher = serve.NewDispatcher(s.Zone, locator{g.board, g.config.Load}, g.health, g.Now, g.wantReport)
+	g.endpoints = rateLimitedEndpoints{cfg.Endpoints(g.Now, g.connectionLimit), g.allowCall}
+	g.dispatcher = serve.NewDispatcher(s.Zone, locator{g.board, g.config.Load}, g.health, g.Now, g.requestReport)
 	g.server = &serve.Server{
 		Backend: g.endpoints,
 		Queue:   g.dispatcher,
@@ -174,13 +175,13 @@
 	}
 	g.guard = g.newGuard()
 	g.server.Guard = g.guard
-	g.setShared()
-	g.accounts = newAccounts(s.tolerance(), g.wantReport, g.Now)
+	g.initReplicatedSets()
+	g.accounts = newAccounts(s.tolerance(), g.requestReport, g.Now)
 	g.server.Allowances = g.accounts
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
-	g.election = orders.NewElection(g.self, g.takeoverLease(), g.takeoverSettle(), g.Now())
+	g.election = orders.NewElection(g.self, g.takeoverTimeout(), g.takeoverDelay(), g.Now())
 	g.lease = orders.NewHolderLease(s.Timing.Lease)
 	g.controller = &orders.Controller{
 		Election:  g.election,
@@ -199,49 +200,49 @@
 	return g, nil
 }
 
-// setShared sets what is told to other hosts.
-func (g *Gateway) setShared() {
-	g.blocks.sum, g.blocks.all = g.guard.Blocks.Sum, g.guard.Blocks.All
-	g.signals.sum = g.health.Signals.Sum
+// initReplicatedSets connects the sets that are replicated to other hosts to their sources.
+func (g *Gateway) initReplicatedSets() {
+	g.blocks.checksum, g.blocks.all = g.guard.Blocks.Sum, g.guard.Blocks.All
+	g.signals.checksum = g.health.Signals.Sum
 	g.signals.all = func(time.Time) []fleet.EndpointSignal { return g.health.Signals.All() }
 }
 
-// listen opens all listeners. That for callers stays unserved until the first
-// configuration is known.
+// listen opens all listeners. The client listener is not served until the first configuration
+// is known.
 func (g *Gateway) listen() error {
 	cert, fingerprint, err := peer.SelfSigned(g.Now())
 	if err != nil {
-		return errors.Wrap(err, "peer key")
+		return errors.Wrap(err, "create peer key")
 	}
 	g.mesh = newMesh(g.self.Host, fingerprint)
-	node, err := peer.ListenPinned(g.settings.Listen.Peers, cert, g.mesh.known, g.answerPeer)
+	node, err := peer.ListenPinned(g.settings.Listen.Peers, cert, g.mesh.trusted, g.handlePeer)
 	if err != nil {
 		return err
 	}
 	g.mesh.node = node
 	g.self.Addr = node.Addr()
 	g.mesh.member = relay.Member{Name: g.self.Host, Addr: g.self.Addr, Zone: g.settings.Zone, Cores: g.settings.cores()}
-	if g.readiness, err = net.Listen("tcp", g.settings.Listen.Readiness); err != nil {
-		return errors.CombineErrors(errors.Wrap(err, "readiness"), node.Close())
+	if g.readinessListener, err = net.Listen("tcp", g.settings.Listen.Readiness); err != nil {
+		return errors.CombineErrors(errors.Wrap(err, "listen for readiness checks"), node.Close())
 	}
-	if g.callers, err = net.Listen("tcp", g.settings.Listen.Callers); err != nil {
-		return errors.CombineErrors(errors.Wrap(err, "callers"), errors.CombineErrors(node.Close(), g.readiness.Close()))
+	if g.clientListener, err = net.Listen("tcp", g.settings.Listen.Callers); err != nil {
+		return errors.CombineErrors(errors.Wrap(err, "listen for clients"), errors.CombineErrors(node.Close(), g.readinessListener.Close()))
 	}
 	if g.settings.Listen.Metrics == "" {
 		return nil
 	}
-	if g.metricsOn, err = net.Listen("tcp", g.settings.Listen.Metrics); err != nil {
-		// A host without metrics serves as well as one with them.
-		g.log.Warn("metrics are not served", "error", err)
+	if g.metricsListener, err = net.Listen("tcp", g.settings.Listen.Metrics); err != nil {
+		// A host without metrics can still serve requests.
+		g.log.Warn("listening for metrics failed; metrics are not served", "error", err)
 	}
 	return nil
 }
 
-// Now is the host's clock. Only differences of its times are used, which jumps
-// of the time of day do not change.
+// Now returns the host's time. Only differences are used, so that wall clock changes have no
+// effect.
 func (g *Gateway) Now() time.Time { return time.Now() }
 
-// connectionLimit divides the connections of an endpoint among the hosts.
+// connectionLimit returns this host's share of an endpoint's connection limit.
 func (g *Gateway) connectionLimit(e fleet.Endpoint) int {
 	limit := 0
 	if c := g.config.Load(); c != nil {
@@ -250,7 +251,7 @@
 	return max(minConnections, int(float64(limit)*connectionShare)/g.mesh.hosts())
 }
 
-// locator tells the dispatcher where models are.
+// locator tells the dispatcher where models are placed.
 type locator struct {
 	board  *fleet.Board
 	config func() *fleet.Config
@@ -269,7 +270,8 @@
 	}
 }
 
-// mayOrder guards orders where endpoints do not check fencing tokens.
+// mayOrder reports whether this host may issue orders. It always may where endpoints check
+// fencing tokens; elsewhere it needs a valid lease.
 func (g *Gateway) mayOrder() bool {
 	if g.settings.Orders.EndpointsCheckTokens {
 		return true
@@ -278,70 +280,71 @@
 	return g.lease.May(now, g.election.Held(), g.listAge(now), g.mesh.names())
 }
 
-// takeoverLease is how long after a holder's last sign of life another may give
-// orders. Where endpoints refuse old tokens, a former holder that still lives
-// does no harm, and half of the lease is enough for its last orders to end.
-func (g *Gateway) takeoverLease() time.Duration {
+// takeoverTimeout returns how long after the holder was last heard another host may take over.
+// Where endpoints check fencing tokens, half of the lease is enough, since the orders of a
+// former holder are rejected.
+func (g *Gateway) takeoverTimeout() time.Duration {
 	if g.settings.Orders.EndpointsCheckTokens {
 		return g.settings.Timing.Lease / 2
 	}
 	return g.settings.Timing.Lease
 }
 
-// takeoverSettle is how long a former holder that cannot know of a claim may still
-// give orders, where endpoints do not check tokens.
-func (g *Gateway) takeoverSettle() time.Duration {
+// takeoverDelay returns how long a former holder that does not know of a newer claim may still
+// issue orders. It is 0 where endpoints check fencing tokens.
+func (g *Gateway) takeoverDelay() time.Duration {
 	if g.settings.Orders.EndpointsCheckTokens {
 		return 0
 	}
 	return orders.Settle(g.settings.Timing.Lease)
 }
 
-// wantReport asks for a demand report at once.
-func (g *Gateway) wantReport() { signal(g.reportNow) }
+// requestReport triggers a demand report.
+func (g *Gateway) requestReport() { trySend(g.reportNow) }
 
-func signal(c chan struct{}) {
+// trySend sends on c unless that would block.
+func trySend(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// Run serves until ctx ends, then stops gracefully.
+// Run serves until ctx is done, then shuts down gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.started = g.Now()
-	g.log.Info("start", "zone", g.settings.Zone, "callers", g.callers.Addr().String(), "peers", g.self.Addr)
+	g.log.Info("host starting", "zone", g.settings.Zone, "callers", g.clientListener.Addr().String(), "peers", g.self.Addr)
 	group, ctx := errgroup.WithContext(ctx)
-	// Loops end only after the last request, which needs them.
+	// The loops must outlive the last request.
 	loops, stopLoops := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopLoops()
 	for _, loop := range g.loops() {
 		go loop(loops)
 	}
-	front := g.frontServer()
+	server := g.clientServer()
 	group.Go(func() error {
-		return serveUntilClosed(&http.Server{Handler: http.HandlerFunc(g.serveReadiness), ReadHeaderTimeout: readinessTimeout}, g.readiness)
+		return serveUntilClosed(&http.Server{Handler: http.HandlerFunc(g.serveReadiness), ReadHeaderTimeout: readinessTimeout}, g.readinessListener)
 	})
-	if g.metricsOn != nil {
+	if g.metricsListener != nil {
 		group.Go(func() error {
-			return serveUntilClosed(&http.Server{Handler: g.metrics.handler, ReadHeaderTimeout: readinessTimeout}, g.metricsOn)
+			return serveUntilClosed(&http.Server{Handler: g.metrics.handler, ReadHeaderTimeout: readinessTimeout}, g.metricsListener)
 		})
 	}
 	group.Go(func() error {
 		if !g.awaitConfig(ctx) {
 			return nil
 		}
-		g.limitFront(front)
+		g.applyLimits(server)
 		g.serving.Store(true)
-		return serveUntilClosed(front, g.callers)
+		return serveUntilClosed(server, g.clientListener)
 	})
 	group.Go(func() error {
 		<-ctx.Done()
-		g.stop(loops, front)
+		g.stop(loops, server)
 		return nil
 	})
 	err := group.Wait()
-	g.log.Info("stop", "error", err)
+	g.log.Info("host stopped", "error", err)
 	return err
 }
 
@@ -353,7 +356,7 @@
 	return err
 }
 
-// loops returns the background work of a host.
+// loops returns the background tasks of a host.
 func (g *Gateway) loops() []func(context.Context) {
 	return []func(context.Context){
 		g.followConfig,
@@ -361,7 +364,7 @@
 		g.followHosts,
 		g.followClaims,
 		g.followCrashes,
-		g.keepCrashes,
+		g.storeCrashes,
 		g.announce,
 		g.mesh.serve,
 		g.followController,
@@ -371,7 +374,7 @@
 	}
 }
 
-// every calls f with a period until ctx ends.
+// every calls f periodically until ctx is done.
 func every(ctx context.Context, period time.Duration, f func()) {
 	t := time.NewTicker(period)
 	defer t.Stop()
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -41,13 +41,13 @@
   endpoints_check_tokens: true
 `
 
-// host is a whole entry host in this process.
+// host is an entry host that runs in the test process.
 type host struct {
 	*gateway.Gateway
-	door *site.Door
-	run  func()
-	stop context.CancelFunc
-	done chan error
+	storeListener *site.Door
+	run           func()
+	stop          context.CancelFunc
+	done          chan error
 }
 
 // deployment is a platform with entry hosts.
@@ -55,8 +55,8 @@
 	t      *testing.T
 	store  *site.Store
 	tracer trace.TracerProvider
-	// unchecked endpoints do not refuse old fencing tokens.
-	unchecked bool
+	// uncheckedTokens is set if endpoints do not check fencing tokens.
+	uncheckedTokens bool
 }
 
 func newDeployment(t *testing.T) *deployment {
@@ -65,8 +65,8 @@
 
 func (d *deployment) startHost(name string) *host {
 	d.t.Helper()
-	h := d.startWith(name, site.Works)
-	d.until("host is ready", func() bool {
+	h := d.startHostWithFault(name, site.Works)
+	d.waitFor("the host is ready", func() bool {
 		resp, err := http.Get("http://" + h.ReadinessAddr())
 		if err != nil {
 			return false
@@ -77,58 +77,58 @@
 	return h
 }
 
-// startWith starts a host that the store treats in a certain way.
-func (d *deployment) startWith(name string, f site.Fault) *host {
+// startHostWithFault starts a host whose store connection has a fault.
+func (d *deployment) startHostWithFault(name string, f site.Fault) *host {
 	d.t.Helper()
 	h := d.newHost(name, f)
 	h.run()
 	return h
 }
 
-// newHost returns a host that does not run yet.
+// newHost returns a host that is not running yet.
 func (d *deployment) newHost(name string, f site.Fault) *host {
 	d.t.Helper()
-	door, err := d.store.Listen()
+	listener, err := d.store.Listen()
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	door.Set(f)
-	s, err := gateway.ParseSettings(name, fmt.Appendf(nil, settingsText, name, door.Addr))
+	listener.Set(f)
+	s, err := gateway.ParseSettings(name, fmt.Appendf(nil, settingsText, name, listener.Addr))
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	s.Orders.EndpointsCheckTokens = !d.unchecked
+	s.Orders.EndpointsCheckTokens = !d.uncheckedTokens
 	g, err := platform.NewGateway(s, slog.New(slog.NewTextHandler(io.Discard, nil)), d.tracer)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	h := &host{Gateway: g, door: door, stop: stop, done: make(chan error, 1)}
+	h := &host{Gateway: g, storeListener: listener, stop: stop, done: make(chan error, 1)}
 	h.run = func() { go func() { h.done <- g.Run(ctx) }() }
 	d.t.Cleanup(func() {
 		stop()
-		door.Close()
+		listener.Close()
 		<-h.done
 	})
 	return h
 }
 
-// until waits for a condition that another goroutine brings about.
-func (d *deployment) until(what string, done func() bool) {
+// waitFor waits until a condition holds and fails the test after 20 s.
+func (d *deployment) waitFor(what string, condition func() bool) {
 	d.t.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	timeout := time.After(20 * time.Second)
-	for !done() {
+	for !condition() {
 		select {
 		case <-tick.C:
 		case <-timeout:
-			d.t.Fatal("in vain: " + what)
+			d.t.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
-func (d *deployment) endpoint(c site.EndpointConfig) *site.Endpoint {
+func (d *deployment) startEndpoint(c site.EndpointConfig) *site.Endpoint {
 	d.t.Helper()
 	e, err := site.StartEndpoint(d.store, c)
 	if err != nil {
@@ -144,14 +144,14 @@
 	{Name: "idle", WeightsMB: 60, LoadS: 2, WarmS: 0.1, DiskS: 0.2},
 }
 
-func (d *deployment) engine(id string) *site.Endpoint {
-	return d.endpoint(site.EndpointConfig{
+func (d *deployment) startEngine(id string) *site.Endpoint {
+	return d.startEndpoint(site.EndpointConfig{
 		ID: id, Service: "llm", Zone: "zone-a", Slots: 8, WeightsMB: 125, AdapterSlots: 4, Models: models,
 		Holds: []string{"warm", "idle"}, OnDisk: []string{"cold"}, Events: 3, Pace: 5 * time.Millisecond,
 	})
 }
 
-// config returns a configuration with routes for streams and a plain service.
+// config returns a configuration with a streaming route and a route to a plain service.
 func config(version int64) site.Config {
 	route := func(name, kind, service string) site.Route {
 		return site.Route{
@@ -188,20 +188,20 @@
 	n int
 }
 
-// ask sends one request to a host.
-func (d *deployment) ask(h *host, path, model string) reply {
+// request sends a request to a host.
+func (d *deployment) request(h *host, path, model string) reply {
 	d.t.Helper()
-	return d.askWith(h, path, model, "")
+	return d.requestWithBody(h, path, model, "")
 }
 
-// askWith sends one request with a body, one of its own if that is empty.
-func (d *deployment) askWith(h *host, path, model, body string) reply {
+// requestWithBody sends a request with a body, or with a unique body if it is empty.
+func (d *deployment) requestWithBody(h *host, path, model, body string) reply {
 	d.t.Helper()
-	return d.askAs("", h, path, model, body)
+	return d.requestWithKey("", h, path, model, body)
 }
 
-// askAs sends one request with a key, none if that is empty.
-func (d *deployment) askAs(key string, h *host, path, model, body string) reply {
+// requestWithKey sends a request with a key, or without one if it is empty.
+func (d *deployment) requestWithKey(key string, h *host, path, model, body string) reply {
 	d.t.Helper()
 	ids.Lock()
 	ids.n++
@@ -242,141 +242,134 @@
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	e := d.engine("e1")
-	plain := d.endpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
+	e := d.startEngine("e1")
+	plain := d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
 	h := d.startHost("a")
 	for _, model := range []string{"warm", "cold", "warm/a2"} {
-		got := d.ask(h, "/chat/x%2Fy?q=1", model)
+		got := d.request(h, "/chat/x%2Fy?q=1", model)
 		is.Equal(got.status, http.StatusOK)
 		is.Equal(got.body, threeEvents)
 	}
 	is.Equal(len(e.Faults()), 0)
 	is.Equal(e.Runs()[0].Path, "/chat/x%2Fy?q=1")
-	got := d.ask(h, "/screen/", "")
+	got := d.request(h, "/screen/", "")
 	is.Equal(got.status, http.StatusOK)
 	is.Equal(got.body, "answer to "+plain.Runs()[0].ID)
-	is.Equal(d.ask(h, "/nowhere/", "").status, http.StatusNotFound)
+	is.Equal(d.request(h, "/nowhere/", "").status, http.StatusNotFound)
 }
 
-// A host's reads of the store get no answer while the operator publishes a new
-// configuration. It learns of it from another host and puts it in force within
-// two seconds; it used to refuse the new route with 404 for up to seven.
-func TestConfigurationComesFromAPeer(t *testing.T) {
+// Guards against a host whose store reads hang refusing a new route: it must fetch the
+// configuration from another host.
+func TestConfigurationIsFetchedFromPeer(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	d.endpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
+	d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
 	a, b := d.startHost("a"), d.startHost("b")
-	d.until("the hosts know each other", func() bool { return a.Peers() == 1 && b.Peers() == 1 })
-	b.door.Set(site.Silent)
+	d.waitFor("the hosts know each other", func() bool { return a.Peers() == 1 && b.Peers() == 1 })
+	b.storeListener.Set(site.Silent)
 	next := config(2)
 	next.Routes = append(next.Routes, site.Route{Name: "new", Host: "h.example", PathPrefix: "/new/", Kind: "safe", Service: "plain", TimeoutMS: 2000, Attempts: 1})
 	start := time.Now()
 	d.publish(next)
-	d.until("the new route is served", func() bool { return d.ask(b, "/new/", "").status == http.StatusOK })
+	d.waitFor("the new route is served", func() bool { return d.request(b, "/new/", "").status == http.StatusOK })
 	is.True(time.Since(start) < 2*time.Second)
 }
 
-// A host has read the configuration when the store begins to turn it away: its
-// own entry is not written, and no other host knows its key. It kept the old
-// configuration for as long as that lasted and refused new routes with 404.
-func TestUnknownHostLearnsTheConfiguration(t *testing.T) {
+// Guards against an outdated configuration on a host that could not write its own entry, so
+// that other hosts do not know its key.
+func TestUnregisteredHostFetchesConfiguration(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	d.endpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
+	d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
 	d.startHost("a")
-	b := d.startWith("b", site.ReadOnly)
-	d.until("the host serves and knows the other", func() bool { return b.Peers() == 1 && d.ask(b, "/screen/", "").status == http.StatusOK })
+	b := d.startHostWithFault("b", site.ReadOnly)
+	d.waitFor("the host serves and knows the other", func() bool { return b.Peers() == 1 && d.request(b, "/screen/", "").status == http.StatusOK })
 	is.True(!b.Ready())
-	// Reads that are under way get no answer either.
-	b.door.Set(site.Silent)
-	b.door.Set(site.Busy)
+	// Also fail the reads that are in flight.
+	b.storeListener.Set(site.Silent)
+	b.storeListener.Set(site.Busy)
 	next := config(2)
 	next.Routes = append(next.Routes, site.Route{Name: "new", Host: "h.example", PathPrefix: "/new/", Kind: "safe", Service: "plain", TimeoutMS: 2000, Attempts: 1})
 	start := time.Now()
 	d.publish(next)
-	d.until("the new route is served", func() bool { return d.ask(b, "/new/", "").status == http.StatusOK })
+	d.waitFor("the new route is served", func() bool { return d.request(b, "/new/", "").status == http.StatusOK })
 	is.True(time.Since(start) < 2*time.Second)
 }
 
-// The store answers nobody for a while, and a host's read of the configuration
-// begins then. The store returns and takes a new configuration; the host must
-// not wait for that read to end, and it knows no other host to ask.
-func TestConfigurationAfterASilentStore(t *testing.T) {
+// Guards against a host without peers waiting for a hanging read after the store has recovered.
+func TestConfigurationIsReadAfterStoreOutage(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	d.endpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
+	d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
 	h := d.startHost("a")
-	h.door.Set(site.Silent)
-	d.until("the store is away", h.StoreAway)
-	h.door.Set(site.Works)
+	h.storeListener.Set(site.Silent)
+	d.waitFor("the host notices the store outage", h.StoreAway)
+	h.storeListener.Set(site.Works)
 	next := config(2)
 	next.Routes = append(next.Routes, site.Route{Name: "new", Host: "h.example", PathPrefix: "/new/", Kind: "safe", Service: "plain", TimeoutMS: 2000, Attempts: 1})
 	start := time.Now()
 	d.publish(next)
-	d.until("the new route is served", func() bool { return d.ask(h, "/new/", "").status == http.StatusOK })
+	d.waitFor("the new route is served", func() bool { return d.request(h, "/new/", "").status == http.StatusOK })
 	is.True(time.Since(start) < 4*time.Second)
 }
 
-// The host that gives orders is killed with a cold model asked for. Another one
-// takes over, with a greater token, and loads the model.
-func TestOrdersGoOnAfterTheControllerDies(t *testing.T) {
+// Guards against cold models not being loaded after the controller dies. Another host must take
+// over with a greater token.
+func TestTakeoverAfterControllerDies(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	e := d.engine("e1")
+	e := d.startEngine("e1")
 	a := d.startHost("a")
-	d.until("the first host gives orders", a.Controls)
+	d.waitFor("the first host is the controller", a.Controls)
 	b := d.startHost("b")
-	d.until("the hosts know each other", func() bool { return a.Peers() == 1 && b.Peers() == 1 })
+	d.waitFor("the hosts know each other", func() bool { return a.Peers() == 1 && b.Peers() == 1 })
 	a.Kill()
-	got := d.ask(b, "/chat/", "cold")
+	got := d.request(b, "/chat/", "cold")
 	is.Equal(got.status, http.StatusOK)
 	is.Equal(got.body, threeEvents)
 	is.True(b.Controls())
 	is.Equal(len(e.Faults()), 0)
 }
 
-// The claim changes hands while a host's read of the claims hangs. The host went
-// on to believe in the former controller, which had released its claim, and told
-// nobody its demand: cold models were refused there for ten seconds, although
-// the new controller's notices came in.
-func TestNoticeNamesTheController(t *testing.T) {
+// Guards against a host reporting its demand to a former controller while its read of the
+// claims hangs.
+func TestNoticeUpdatesController(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
 	h := d.startHost("a")
-	d.until("the host gives orders", h.Controls)
+	d.waitFor("the host is the controller", h.Controls)
 	h.HearNotice(fleet.Notice{Holder: "b", Incarnation: "b-1", Addr: "127.0.0.1:9", Token: 99})
 	is.Equal(h.ControllerAddr(), "127.0.0.1:9")
 	is.True(!h.Controls())
 }
 
-// A planned stop under streams: every stream that has begun ends whole, and a
-// client that comes while the balancer has not noticed is still served.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// Guards against cut streams and refused clients during a graceful shutdown.
+func TestGracefulShutdownCompletesStreams(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	d.endpoint(site.EndpointConfig{
+	d.startEndpoint(site.EndpointConfig{
 		ID: "e1", Service: "llm", Zone: "zone-a", Slots: 8, WeightsMB: 125, AdapterSlots: 4, Models: models,
 		Holds: []string{"warm"}, Events: 3, Pace: 150 * time.Millisecond,
 	})
 	h := d.startHost("a")
 	replies := make(chan reply, 8)
 	for range 4 {
-		go func() { replies <- d.ask(h, "/chat/", "warm") }()
+		go func() { replies <- d.request(h, "/chat/", "warm") }()
 	}
 	h.stop()
-	d.until("the balancer is told", func() bool {
+	d.waitFor("the host is unready", func() bool {
 		resp, err := http.Get("http://" + h.ReadinessAddr())
 		if err != nil {
 			return true
@@ -384,7 +377,7 @@
 		defer resp.Body.Close()
 		return resp.StatusCode != http.StatusOK
 	})
-	replies <- d.ask(h, "/chat/", "warm")
+	replies <- d.request(h, "/chat/", "warm")
 	for range 5 {
 		got := <-replies
 		is.Equal(got.status, http.StatusOK)
@@ -394,28 +387,27 @@
 	h.done <- nil
 }
 
-// An endpoint announces its leaving. Requests go to the other one as soon as the
-// list says so.
+// Guards against requests to an endpoint that has announced that it is leaving.
 func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	first := d.endpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
-	second := d.endpoint(site.EndpointConfig{ID: "p2", Service: "plain", Zone: "zone-a", Slots: 4})
+	first := d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
+	second := d.startEndpoint(site.EndpointConfig{ID: "p2", Service: "plain", Zone: "zone-a", Slots: 4})
 	h := d.startHost("a")
 	first.Drain()
-	d.until("the leaving is known", func() bool {
+	d.waitFor("the leaving endpoint gets no requests", func() bool {
 		before := len(first.Runs())
 		for range 8 {
-			d.ask(h, "/screen/", "")
+			d.request(h, "/screen/", "")
 		}
 		return len(first.Runs()) == before
 	})
 	is.True(len(second.Runs()) >= 8)
 }
 
-func TestSettingsFindingsComeTogether(t *testing.T) {
+func TestParseSettingsReportsAllFindings(t *testing.T) {
 	is := is.New(t)
 	_, err := gateway.ParseSettings("f.yaml", []byte("listen:\n  callers: name:80\nnew_field: 1\n"))
 	is.True(err != nil)
--- a/pkg/gateway/mesh.go
+++ b/pkg/gateway/mesh.go
@@ -12,93 +12,96 @@
 )
 
 const (
-	// peerTimeout bounds a message to another host; a round trip takes a few
-	// milliseconds, a first connection some tens.
+	// peerTimeout bounds a request to another host.
 	peerTimeout = 600 * time.Millisecond
-	// maxListAge is how old the list of endpoints may be before a peer is asked: an
-	// endpoint that leaves must get no requests soon after it has said so, and a
-	// read of the store may hang.
+	// maxListAge is the age of the list of endpoints after which a peer is asked for it. Reads
+	// of the store may hang, and an endpoint that leaves must soon receive no more requests.
 	maxListAge = 1100 * time.Millisecond
-	// firstNews is how long a new controller may take until all hosts hear of it: after a
-	// start, relays read the entries of all hosts first, for more than a second.
-	firstNews = 3 * time.Second
-	// weakClaimDelay is longer than the random pause of the stronger hosts before a claim.
-	weakClaimDelay = 400 * time.Millisecond
-	// stateFrom is the offset at which all entries of the list are asked for.
-	stateFrom = 0
+	// firstNoticeTimeout is how long a new controller may take to reach all hosts. After a
+	// start, relays first read the entries of all hosts.
+	firstNoticeTimeout = 3 * time.Second
+	// weakHostClaimDelay delays the claims of weak hosts. It is longer than the random delay of
+	// the strong ones.
+	weakHostClaimDelay = 400 * time.Millisecond
+	// fullStateOffset is the offset that requests all entries of the list.
+	fullStateOffset = 0
 )
 
-// mesh knows the other hosts. It is safe for concurrent use.
+// mesh tracks the other hosts. It is safe for concurrent use.
 type mesh struct {
-	self   string
-	member relay.Member
-	own    peer.Fingerprint
-	node   *peer.Node
+	self        string
+	member      relay.Member
+	fingerprint peer.Fingerprint
+	node        *peer.Node
 
 	mu         sync.Mutex
 	peers      map[string]hostEntry
 	pinned     map[peer.Fingerprint]bool
 	claimsNext int64
-	// silent is until when a host that gave no answer is not asked.
-	silent map[string]time.Time
-	// failures counts the questions in a row that a host did not answer.
+	// backoffUntil is the time, by address, until which a host is not contacted.
+	backoffUntil map[string]time.Time
+	// failures is the number of consecutive failed requests by address.
 	failures map[string]int
-	// tree holds the hosts to ask for what the controller tells, until hosts change.
-	tree map[string][]relay.Member
-	// relay tells whether this host is one of those, nil until that is looked at.
-	relay *bool
-	// asked is when a peer was last asked for the state, asking names those that are now.
-	asked  time.Time
-	asking map[string]bool
+	// upstreamCache holds the upstream hosts for each controller. It is cleared when a host
+	// changes.
+	upstreamCache map[string][]relay.Member
+	// relayRole caches whether this host is a relay; nil means not computed.
+	relayRole *bool
+	// lastStateRequest is when state was last requested from a peer. pendingStateRequests holds
+	// the addresses with a request in flight.
+	lastStateRequest     time.Time
+	pendingStateRequests map[string]bool
 	// claimSeen is when the newest claim was first seen.
 	claimSeen time.Time
-	// learned is when the entry of another host last came or changed.
-	learned time.Time
-	// confirmed is as of when the controller has last told all changes of the list of
-	// endpoints that this host had not read itself.
-	confirmed time.Time
+	// peersChanged is when the entry of another host was last added or changed.
+	peersChanged time.Time
+	// listConfirmed is the time as of which the controller has last confirmed that this host's
+	// list of endpoints is complete.
+	listConfirmed time.Time
 }
 
-// confirm takes in that this host knows the list of endpoints as of a time.
-func (m *mesh) confirm(at time.Time) {
+// confirmList records that this host's list of endpoints is complete as of a time.
+func (m *mesh) confirmList(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if at.After(m.confirmed) {
-		m.confirmed = at
+	if at.After(m.listConfirmed) {
+		m.listConfirmed = at
 	}
 }
 
-// confirmedAge is how old the list of endpoints is that the controller has confirmed.
-func (m *mesh) confirmedAge(now time.Time) time.Duration {
+// confirmedListAge returns the time since the list of endpoints was last confirmed by the
+// controller.
+func (m *mesh) confirmedListAge(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Sub(m.confirmed)
+	return now.Sub(m.listConfirmed)
 }
 
 func newMesh(self string, own peer.Fingerprint) *mesh {
 	return &mesh{
-		self:     self,
-		own:      own,
-		peers:    map[string]hostEntry{},
-		pinned:   map[peer.Fingerprint]bool{},
-		silent:   map[string]time.Time{},
-		failures: map[string]int{},
-		asking:   map[string]bool{},
-		tree:     map[string][]relay.Member{},
+		self:                 self,
+		fingerprint:          own,
+		peers:                map[string]hostEntry{},
+		pinned:               map[peer.Fingerprint]bool{},
+		backoffUntil:         map[string]time.Time{},
+		failures:             map[string]int{},
+		pendingStateRequests: map[string]bool{},
+		upstreamCache:        map[string][]relay.Member{},
 	}
 }
 
 func (m *mesh) serve(ctx context.Context) { m.node.Serve(ctx) }
 
-func (m *mesh) known(f peer.Fingerprint) bool {
+// trusted reports whether a key belongs to a known host.
+func (m *mesh) trusted(f peer.Fingerprint) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.pinned[f]
 }
 
-// learn takes in where a host is reached. A host that has started again has a
-// new key, and connections to its former incarnation are of no use.
-func (m *mesh) learn(host string, e hostEntry) {
+// updatePeer adds or updates the entry of a host. A restarted host has a new key, so
+// connections to its former incarnation are closed.
+func (m *mesh) updatePeer(host string, e hostEntry) {
 	if host == m.self {
 		return
 	}
@@ -106,29 +109,29 @@
 	defer m.mu.Unlock()
 	old, ok := m.peers[host]
 	if !ok || old.Fingerprint != e.Fingerprint {
-		m.learned = time.Now()
+		m.peersChanged = time.Now()
 	}
 	if ok && old.Fingerprint != e.Fingerprint {
 		delete(m.pinned, old.Fingerprint)
 		m.node.Forget(old.Addr)
 	}
 	m.peers[host] = e
-	clear(m.tree)
-	m.relay = nil
-	delete(m.silent, e.Addr)
+	clear(m.upstreamCache)
+	m.relayRole = nil
+	delete(m.backoffUntil, e.Addr)
 	delete(m.failures, e.Addr)
 	m.pinned[e.Fingerprint] = true
 }
 
-// settled tells whether no entry of another host has come for a while: hosts that start
-// together are known then.
-func (m *mesh) settled(now time.Time) bool {
+// membershipStable reports whether no entry of another host was added or changed within
+// hostBatchDelay.
+func (m *mesh) membershipStable(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Sub(m.learned) >= gatherTime
+	return now.Sub(m.peersChanged) >= hostBatchDelay
 }
 
-// hosts is the number of hosts known, this one included.
+// hosts returns the number of known hosts, including this one.
 func (m *mesh) hosts() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -145,7 +148,7 @@
 	return slices.Collect(maps.Keys(m.addresses()))
 }
 
-// addresses returns where all other hosts are reached, by name.
+// addresses returns the addresses of all other hosts by name.
 func (m *mesh) addresses() map[string]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -162,24 +165,24 @@
 	m.claimsNext = max(m.claimsNext, next)
 }
 
-// noteClaim takes in when a claim was seen that is newer than those before.
-func (m *mesh) noteClaim(now time.Time) {
+// recordClaim records when the newest claim was seen.
+func (m *mesh) recordClaim(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.claimSeen = now
 }
 
-// claimedLately tells whether a claim was just seen: its holder has hardly spoken yet.
-func (m *mesh) claimedLately(now time.Time) bool {
+// claimSeenRecently reports whether the newest claim is so recent that its holder may not have
+// sent a notice yet.
+func (m *mesh) claimSeenRecently(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Sub(m.claimSeen) < firstNews
+	return now.Sub(m.claimSeen) < firstNoticeTimeout
 }
 
-// modesty is how much longer than others this host waits before a claim. The controller
-// decides for all hosts, which takes the weakest in use a tenth of a second each time and
-// most of their memory, so that hosts with half of the strongest's processor come first.
-func (m *mesh) modesty() time.Duration {
+// claimBackoff returns an additional delay before a claim for hosts with less than half the CPU
+// capacity of the strongest, since the controller's decisions need CPU time and memory.
+func (m *mesh) claimBackoff() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	strongest := 0.0
@@ -189,23 +192,23 @@
 	if m.member.Cores >= strongest/2 {
 		return 0
 	}
-	return weakClaimDelay
+	return weakHostClaimDelay
 }
 
-// claimsEnd is the offset up to which the claims were read.
+// claimsEnd returns the offset up to which claims were read.
 func (m *mesh) claimsEnd() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.claimsNext
 }
 
-// send sends a message and returns the first message of the answer.
+// send sends a request and returns the first response.
 func (m *mesh) send(ctx context.Context, addr string, r peer.Request) (peer.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	answers, err := m.node.Send(ctx, addr, r)
+	responses, err := m.node.Send(ctx, addr, r)
 	if err != nil {
 		return peer.Response{}, err
 	}
-	return answers[0], nil
+	return responses[0], nil
 }
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -10,44 +10,42 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics holds the counters and histograms of one host; docs/OPERATIONS.md
-// explains each.
+// metrics holds the counters and histograms of a host; docs/OPERATIONS.md explains each.
 type metrics struct {
 	scope   tally.Scope
 	handler http.Handler
-	// accounts bounds the accounts that metrics tell apart.
-	accounts names
+	// accounts bounds the number of accounts with a series of their own.
+	accounts tagValues
 }
 
-// maxNames bounds the values of a tag that come from outside: each makes a series of its own.
-const maxNames = 64
+// maxTagValues bounds the values of a tag that come from outside, since each creates a series.
+const maxTagValues = 64
 
-// names are the values of a tag that are told apart, the first ones. It is safe for concurrent
-// use.
-type names struct {
+// tagValues holds the first maxTagValues values of a tag. It is safe for concurrent use.
+type tagValues struct {
 	mu   sync.Mutex
 	seen map[string]bool
 }
 
-// name returns a value, or "other" if there are too many.
-func (n *names) name(value string) string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.seen == nil {
-		n.seen = map[string]bool{}
+// limit returns value, or "other" if there are too many values.
+func (v *tagValues) limit(value string) string {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.seen == nil {
+		v.seen = map[string]bool{}
 	}
-	if !n.seen[value] && len(n.seen) >= maxNames {
+	if !v.seen[value] && len(v.seen) >= maxTagValues {
 		return "other"
 	}
-	n.seen[value] = true
+	v.seen[value] = true
 	return value
 }
 
-// latencyBuckets reach from a millisecond to about half a minute.
+// latencyBuckets range from 1 ms to about half a minute.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 16)
 
 func newMetrics() *metrics {
-	// The closer would end the reporting; it goes on for as long as the process.
+	// The closer is not used, since reporting continues until the process exits.
 	scope, handler, _ := telemetry.Metrics()
 	return &metrics{scope: scope, handler: handler}
 }
@@ -58,7 +56,7 @@
 
 func (m *metrics) gauge(name string, v float64) { m.scope.Gauge(name).Update(v) }
 
-// result counts the end of a request and its times.
+// result records the outcome and the latencies of a request.
 func (m *metrics) result(r serve.Result) {
 	tags := map[string]string{"route": r.Request.Route.Name, "outcome": r.Outcome()}
 	m.count("requests", tags)
@@ -68,7 +66,7 @@
 		route.Histogram("first_byte", latencyBuckets).RecordDuration(r.FirstByte)
 	}
 	if r.Refusal != nil && r.Refusal.Cause == serve.CauseAllowance {
-		m.count("beyond_allowance", map[string]string{"account": m.accounts.name(r.Request.Account)})
+		m.count("beyond_allowance", map[string]string{"account": m.accounts.limit(r.Request.Account)})
 	}
 	if r.Sent > 1 {
 		m.scope.Tagged(tags).Counter("resent").Inc(int64(r.Sent - 1))
--- a/pkg/gateway/orders_test.go
+++ b/pkg/gateway/orders_test.go
@@ -10,100 +10,94 @@
 	"github.com/tealvane/tealvane/internal/standin/site"
 )
 
-// The controller is cut off from the other hosts, not from the store. Another host
-// takes over; the former one learns of it from the store and must stop, or two hosts
-// would swap models against each other. Both go on to serve what is loaded.
-func TestControllerCutFromItsPeersStops(t *testing.T) {
+// Guards against two controllers at once: one that is cut off from its peers must step down
+// when it reads a newer claim. Both hosts keep serving loaded models.
+func TestIsolatedControllerStepsDown(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	e := d.engine("e1")
+	e := d.startEngine("e1")
 	a := d.startHost("a")
-	d.until("the first host gives orders", a.Controls)
+	d.waitFor("the first host is the controller", a.Controls)
 	b := d.startHost("b")
-	d.until("the hosts know each other", func() bool { return a.Peers() == 1 && b.Peers() == 1 })
+	d.waitFor("the hosts know each other", func() bool { return a.Peers() == 1 && b.Peers() == 1 })
 	a.CutPeers()
-	d.until("the other host takes over", b.Controls)
-	d.until("the first one stops", func() bool { return !a.Controls() })
-	is.Equal(d.ask(b, "/chat/", "cold").status, http.StatusOK)
-	is.Equal(d.ask(a, "/chat/", "warm").status, http.StatusOK)
+	d.waitFor("the other host takes over", b.Controls)
+	d.waitFor("the first host steps down", func() bool { return !a.Controls() })
+	is.Equal(d.request(b, "/chat/", "cold").status, http.StatusOK)
+	is.Equal(d.request(a, "/chat/", "warm").status, http.StatusOK)
 	is.Equal(len(e.Faults()), 0)
 }
 
-// Endpoints do not check who gives them an order. A controller that the store no
-// longer answers cannot know whether another host has claimed since; if it went
-// on, two hosts would order the same endpoint in turn. It orders nothing until the
-// store answers again. Where endpoints refuse old tokens it goes on.
-func TestOrdersWithoutTheStore(t *testing.T) {
+// Guards against two hosts ordering the same endpoint alternately: without token checks, a
+// controller that cannot reach the store must pause its orders.
+func TestOrdersDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	for _, checked := range []bool{true, false} {
-		t.Run(map[bool]string{true: "tokens checked", false: "not checked"}[checked], func(t *testing.T) {
+		t.Run(map[bool]string{true: "tokens checked", false: "tokens not checked"}[checked], func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			d := newDeployment(t)
-			d.unchecked = !checked
+			d.uncheckedTokens = !checked
 			d.publish(config(1))
-			e := d.engine("e1")
+			e := d.startEngine("e1")
 			h := d.startHost("a")
-			d.until("the host gives orders", h.Controls)
-			h.door.Set(site.Silent)
-			d.until("the store is away", h.StoreAway)
-			d.until("the list is older than half a lease", func() bool { return h.MayOrder() == checked })
-			got := d.ask(h, "/chat/", "cold")
+			d.waitFor("the host is the controller", h.Controls)
+			h.storeListener.Set(site.Silent)
+			d.waitFor("the host notices the store outage", h.StoreAway)
+			d.waitFor("the list is older than half a lease", func() bool { return h.MayOrder() == checked })
+			got := d.request(h, "/chat/", "cold")
 			is.Equal(got.status == http.StatusOK, checked)
-			h.door.Set(site.Works)
-			d.until("the store is back", func() bool { return !h.StoreAway() })
-			d.until("the model is served", func() bool { return d.ask(h, "/chat/", "cold").status == http.StatusOK })
+			h.storeListener.Set(site.Works)
+			d.waitFor("the host notices that the store is back", func() bool { return !h.StoreAway() })
+			d.waitFor("the model is served", func() bool { return d.request(h, "/chat/", "cold").status == http.StatusOK })
 			is.Equal(len(e.Faults()), 0)
 		})
 	}
 }
 
-// Endpoints do not check who gives them an order, and the controller alone, or every
-// host, gets no answer from the store. All hosts hear the controller, so that none of
-// them claims; but it gave no orders until the store answered again, and users of
-// models that were not loaded waited in vain for as long.
-func TestOrdersOfAHostThatAllOthersHear(t *testing.T) {
+// Guards against orders being paused during a store outage although all hosts hear the
+// controller, so that none of them can claim.
+func TestOrdersContinueWhileAllHostsHearController(t *testing.T) {
 	t.Parallel()
 	for _, all := range []bool{false, true} {
-		t.Run(map[bool]string{true: "no host reads the store", false: "the others do"}[all], func(t *testing.T) {
+		t.Run(map[bool]string{true: "no host can read the store", false: "only the controller cannot read the store"}[all], func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			d := newDeployment(t)
-			d.unchecked = true
+			d.uncheckedTokens = true
 			d.publish(config(1))
-			e := d.engine("e1")
+			e := d.startEngine("e1")
 			a := d.startHost("a")
-			d.until("the first host gives orders", a.Controls)
+			d.waitFor("the first host is the controller", a.Controls)
 			b := d.startHost("b")
-			d.until("the hosts know each other", func() bool { return a.Peers() == 1 && b.Peers() == 1 })
-			a.door.Set(site.Silent)
+			d.waitFor("the hosts know each other", func() bool { return a.Peers() == 1 && b.Peers() == 1 })
+			a.storeListener.Set(site.Silent)
 			if all {
-				b.door.Set(site.Silent)
+				b.storeListener.Set(site.Silent)
 			}
-			d.until("the store is away", a.StoreAway)
-			d.until("the list is older than half a lease", func() bool { return a.ListAge() > 500*time.Millisecond })
-			is.Equal(d.ask(b, "/chat/", "cold").status, http.StatusOK)
+			d.waitFor("the host notices the store outage", a.StoreAway)
+			d.waitFor("the list is older than half a lease", func() bool { return a.ListAge() > 500*time.Millisecond })
+			is.Equal(d.request(b, "/chat/", "cold").status, http.StatusOK)
 			is.True(a.Controls())
 			is.Equal(len(e.Faults()), 0)
 		})
 	}
 }
 
-// A user mistypes a model's name. The request was held for half of its time, refused
-// with an invitation to come back in 150 ms, and held again: nobody would ever load
-// such a model, and the log said only that it was not loaded.
-func TestModelThatNoConfigurationNames(t *testing.T) {
+// Guards against a request for a model that is not configured being queued and invited to
+// retry.
+func TestUnknownModelIsRefused(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	d.engine("e1")
+	d.startEngine("e1")
 	h := d.startHost("a")
-	d.until("the host gives orders", h.Controls)
+	d.waitFor("the host is the controller", h.Controls)
 	start := time.Now()
-	got := d.ask(h, "/chat/", "nosuch")
+	got := d.request(h, "/chat/", "nosuch")
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(strings.Contains(got.body, "no_such_model"))
 	is.True(time.Since(start) < time.Second)
--- /dev/null
+++ b/pkg/gateway/peerhandler.go
@@ -0,0 +1,108 @@
+package gateway
+
+import (
+	"context"
+	"time"
+
+	"github.com/tealvane/tealvane/pkg/fleet"
+	"github.com/tealvane/tealvane/pkg/orders"
+	"github.com/tealvane/tealvane/pkg/peer"
+)
+
+// handlePeer responds to a request from another host.
+func (g *Gateway) handlePeer(r peer.Request) []peer.Response {
+	now := g.Now()
+	response := peer.Response{ConfigVersion: g.configVersion()}
+	if !r.Known {
+		g.lease.UnknownHost(now)
+		// The store has rejected this host, so its entry was never written. It may read the
+		// shared state, but nothing that it reports is used.
+		if r.State != nil {
+			response.State = g.answerState(*r.State)
+		}
+		return []peer.Response{response}
+	}
+	switch {
+	case r.Pull != nil:
+		g.fetchNewerConfig(r.Pull.Demand.Addr, r.Pull.Demand.ConfigVersion)
+		response.Notice = g.answerPull(*r.Pull)
+		now = g.Now()
+		response.ConfigVersion = g.configVersion()
+	case r.State != nil:
+		response.State = g.answerState(*r.State)
+	}
+	claim := g.election.Newest()
+	response.Claim = &claim
+	response.Controlling = g.election.Held() != 0
+	response.HolderHeard = g.election.HeardAgo(now).Milliseconds()
+	response.StoreAge = g.listAge(now).Milliseconds()
+	return []peer.Response{response}
+}
+
+func (g *Gateway) configVersion() int64 {
+	if c := g.config.Load(); c != nil {
+		return c.Version
+	}
+	return 0
+}
+
+// fetchNewerConfig fetches the configuration from the host at addr if version is newer than the
+// one in force. Every message between hosts carries the version, so that a host whose store
+// reads hang does not keep an outdated configuration.
+func (g *Gateway) fetchNewerConfig(addr string, version int64) {
+	if version <= g.configVersion() || addr == "" {
+		return
+	}
+	go func() {
+		if g.fetchStateFrom(context.Background(), addr) {
+			g.missedConfigVersion.Store(version)
+		}
+	}()
+}
+
+// missedNewerConfig reports whether another host has a newer configuration but failed to send
+// it in time, as happens with large configurations on slow links. This host then reads the
+// store.
+func (g *Gateway) missedNewerConfig() bool { return g.missedConfigVersion.Load() > g.configVersion() }
+
+// applyNotice applies a notice of the controller that another host has sent.
+func (g *Gateway) applyNotice(now time.Time, n fleet.Notice) {
+	if !g.notices.accept(n) || !g.board.Notice(now, n) {
+		return
+	}
+	if n.Token != 0 {
+		g.election.Observe(now, orders.Claim{
+			Holder: orders.Holder{Host: n.Holder, Incarnation: n.Incarnation, Addr: n.Addr},
+			Token:  n.Token,
+		})
+		g.election.Heard(now.Add(-milliseconds(n.HeardAgo)), n.Token)
+		g.lastStamp.Store(&stamp{token: n.Token, at: n.Stamp})
+	}
+	g.applyListNotice(now, n)
+	g.dispatcher.Kick()
+	g.children.wake()
+}
+
+// applyListNotice applies the changes to the list of endpoints in a notice. The notice does not
+// repeat changes from earlier, lost notices: a host that is missing earlier changes reads the
+// store instead, so that it does not keep sending requests to an endpoint that has left.
+func (g *Gateway) applyListNotice(now time.Time, n fleet.Notice) {
+	if n.StoreBackAgo > 0 {
+		g.directory.StoreBack(now.Add(-milliseconds(n.StoreBackAgo)))
+	}
+	if len(n.ListEntries) > 0 && g.directory.Offset() > n.ListSince {
+		g.applyEndpoints(fleet.Batch{Entries: n.ListEntries})
+	}
+	if n.ListChange >= g.directory.Offset() {
+		if !g.listConfirmed() {
+			trySend(g.listReadNow)
+		}
+		return // The next notices carry the change, or the confirmation expires.
+	}
+	g.mesh.confirmList(now.Add(-milliseconds(n.ListAge)))
+	if g.listConfirmed() {
+		g.directory.Confirmed()
+	}
+}
+
+func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/pkg/gateway/pull.go
+++ b/pkg/gateway/pull.go
@@ -12,59 +12,57 @@
 )
 
 const (
-	// reportPeriod is the longest pause between two reports of demand, and
-	// reportPause the shortest: requests that come together make one report.
-	reportPeriod = 250 * time.Millisecond
-	reportPause  = 20 * time.Millisecond
-	// samePause is for how long the needs that were told last hold, unless requests wait
-	// for a model that is missing. A relay asks up to fifty times a second, and its
-	// report names some hundred models.
-	samePause = 100 * time.Millisecond
-	// lastResortPause separates two questions to the controller itself while all relays
-	// of the zone are gone: half of the time after which its silence is noticed.
-	lastResortPause = 600 * time.Millisecond
-	// maxPulls bounds the questions of this host that are under way: one that waits for a
-	// change, and those that tell of new demand meanwhile.
+	// maxReportInterval is the longest interval between two demand reports, minReportInterval
+	// the shortest. Requests that arrive together are covered by one report.
+	maxReportInterval = 250 * time.Millisecond
+	minReportInterval = 20 * time.Millisecond
+	// fullDemandInterval is how long the last full demand stays valid, unless requests wait for
+	// a missing model. Full reports are large, and relays pull many times a second.
+	fullDemandInterval = 100 * time.Millisecond
+	// controllerFallbackInterval is the interval between pulls from the controller itself while
+	// all relays of the zone are down. It must be shorter than the time after which the
+	// controller counts as lost.
+	controllerFallbackInterval = 600 * time.Millisecond
+	// maxPulls bounds the pulls in flight: one that waits for a change, and others that report
+	// new demand meanwhile.
 	maxPulls = 3
-	// pullTimeout bounds a question: it is held for a while, and a host that gives no
-	// answer after that is passed over.
+	// pullTimeout bounds a pull, which the upstream host holds for up to relay.MaxHold.
 	pullTimeout = relay.MaxHold + 250*time.Millisecond
-	// maxNewsAge is how old what another host tells may be: after that it is cut off
-	// itself, and the next one is asked.
-	maxNewsAge = 900 * time.Millisecond
+	// maxNoticeAge is the age of an upstream host's last contact with the controller after
+	// which the host counts as cut off and the next one is used.
+	maxNoticeAge = 900 * time.Millisecond
 )
 
-// errStaleNews means that another host has not heard the controller itself for long.
-var errStaleNews = errors.New("the host that was asked is cut off itself")
+var errStaleUpstream = errors.New("upstream host has not heard the controller recently")
 
-// errNotKnown means that another host does not know this one yet.
-var errNotKnown = errors.New("the host that was asked does not know this one yet")
+var errUnknownHost = errors.New("upstream host does not know this host yet")
 
-// followController asks for what the controller tells, and tells what this host's requests need.
+// followController pulls notices of the controller from the upstream host and reports the
+// demand of this host's requests.
 func (g *Gateway) followController(ctx context.Context) {
-	free := make(chan struct{}, maxPulls)
+	slots := make(chan struct{}, maxPulls)
 	urgent := true
 	for ctx.Err() == nil {
 		if g.election.Held() != 0 {
-			g.controller.Report(g.Now(), g.report(g.Now()))
-			signal(g.noticeNow)
-			wait.Or(ctx, reportPeriod, g.reportNow)
-			wait.For(ctx, reportPause)
+			g.controller.Report(g.Now(), g.demandReport(g.Now()))
+			trySend(g.stepNow)
+			wait.Or(ctx, maxReportInterval, g.reportNow)
+			wait.For(ctx, minReportInterval)
 			continue
 		}
 		select {
-		case free <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
-		rest := make(chan time.Duration, 1)
+		pauses := make(chan time.Duration, 1)
 		go func(urgent bool) {
-			defer func() { <-free }()
-			rest <- g.pull(ctx, urgent)
+			defer func() { <-slots }()
+			pauses <- g.pull(ctx, urgent)
 		}(urgent)
-		pause := reportPause
+		pause := minReportInterval
 		select {
-		case d := <-rest:
+		case d := <-pauses:
 			urgent = false
 			pause = max(pause, d)
 		case <-g.urgentReports():
@@ -76,121 +74,123 @@
 	}
 }
 
-// urgentReports brings the wish to tell new demand at once, never while the controller is
-// asked in place of a relay.
+// urgentReports returns the channel that triggers an immediate report, or nil while the
+// controller is used in place of a relay.
 func (g *Gateway) urgentReports() <-chan struct{} {
 	upstreams := g.upstreams()
-	if len(upstreams) > 0 && inPlaceOfRelay(upstreams, g.mesh.firstAnswering(g.Now(), upstreams)) {
+	if len(upstreams) > 0 && isControllerFallback(upstreams, g.mesh.firstReachable(g.Now(), upstreams)) {
 		return nil
 	}
 	return g.reportNow
 }
 
-// pull asks the best host that answers, and returns how long to rest. A report goes out
-// once: one whose answer is lost may have been counted, and a second copy would count its
-// arrivals twice.
+// pull pulls once from the best reachable upstream host and returns the minimum pause before
+// the next pull. A report is never resent, since its receiver may have counted it even though
+// the response was lost.
 func (g *Gateway) pull(ctx context.Context, urgent bool) time.Duration {
 	now := g.Now()
 	upstreams := g.upstreams()
 	if len(upstreams) == 0 {
-		return reportPeriod
+		return maxReportInterval
 	}
-	to := g.mesh.firstAnswering(now, upstreams)
+	to := g.mesh.firstReachable(now, upstreams)
 	p := fleet.Pull{
-		Demand:    g.demand(now, to, urgent),
+		Demand:    g.demandFor(now, to, urgent),
 		ListNext:  g.directory.Offset(),
-		HostsNext: g.feed.hostsKnown(),
-		Heard:     g.heard(now),
+		HostsNext: g.cache.hostsOffset(),
+		Heard:     g.controllerHeard(now),
 	}
-	p.Source, p.Token, p.Version = g.news.known()
+	p.Source, p.Token, p.Version = g.notices.position()
 	if !g.settings.Orders.EndpointsCheckTokens {
-		p.Below = g.sums.Heard(now)
+		p.Below = g.demandSums.Heard(now)
 	}
-	crashesNext := g.addCrashes(now, to.Addr, &p)
-	p.SignalsSum, p.Signals = g.signals.inQuestion(now)
-	p.Accounts, p.Rising = g.accounts.report(now)
-	p.Brief = inPlaceOfRelay(upstreams, to)
-	err := g.ask(ctx, to, p, crashesNext)
+	crashesNext := g.addCrashesTo(now, to.Addr, &p)
+	p.SignalsSum, p.Signals = g.signals.forRequest(now)
+	p.Accounts, p.Rising = g.accounts.usageReport(now)
+	p.Brief = isControllerFallback(upstreams, to)
+	err := g.sendPull(ctx, to, p, crashesNext)
 	if err == nil {
-		g.mesh.noteAnswer(to.Addr)
-		if inPlaceOfRelay(upstreams, to) {
-			return lastResortPause
+		g.mesh.markReachable(to.Addr)
+		if isControllerFallback(upstreams, to) {
+			return controllerFallbackInterval
 		}
 		return 0
 	}
-	if !takenIn(err) {
-		g.accounts.unreported(p.Accounts)
+	if !pullAccepted(err) {
+		g.accounts.restoreUsage(p.Accounts)
 	}
 	if ctx.Err() != nil {
 		return 0
 	}
 	g.metrics.count("pulls_failed", nil)
-	if errors.Is(err, errNotKnown) || errors.Is(err, errStaleNews) {
-		g.mesh.passOver(g.Now(), to.Addr)
+	if errors.Is(err, errUnknownHost) || errors.Is(err, errStaleUpstream) {
+		g.mesh.markUnavailable(g.Now(), to.Addr)
 	} else {
-		g.mesh.noteSilent(g.Now(), to.Addr)
+		g.mesh.markUnreachable(g.Now(), to.Addr)
 	}
-	g.log.Info("no news from the host that was asked", "asked", to.Name, "error", err.Error())
-	if errors.Is(err, errNotKnown) {
-		return wait.Jitter(reportPeriod) // It has to read this host's entry first.
+	g.log.Info("pull from upstream host failed", "asked", to.Name, "error", err.Error())
+	if errors.Is(err, errUnknownHost) {
+		return wait.Jitter(maxReportInterval) // The upstream host must read this host's entry first.
 	}
-	return wait.Jitter(reportPause)
+	return wait.Jitter(minReportInterval)
 }
 
-// takenIn tells whether a question with this error was taken in all the same: the host that was
-// asked has answered, and only what it tells is old. What such a question told of accounts
-// must not be told again, or it adds up at each hop.
-func takenIn(err error) bool { return errors.Is(err, errStaleNews) }
+// pullAccepted reports whether a pull that failed with err was still processed by the upstream
+// host, which responded with outdated state. Account usage in such a pull must not be reported
+// again.
+func pullAccepted(err error) bool { return errors.Is(err, errStaleUpstream) }
 
-// inPlaceOfRelay tells whether a host that has a relay asks the controller itself. All hosts
-// do where all relays are gone, and each question takes a third of a millisecond of the
-// time in which the controller decides.
-func inPlaceOfRelay(upstreams []relay.Member, to relay.Member) bool {
+// isControllerFallback reports whether to is the controller, used because all relays are down.
+// Pulls to it must then be rare, since every host sends them and each takes CPU time of the
+// controller.
+func isControllerFallback(upstreams []relay.Member, to relay.Member) bool {
 	return len(upstreams) > 1 && to == upstreams[len(upstreams)-1]
 }
 
-// ask asks another host. Its answer confirms the crashes before the number crashesNext.
-func (g *Gateway) ask(ctx context.Context, to relay.Member, p fleet.Pull, crashesNext int64) error {
+// sendPull sends a pull and applies the response, which acknowledges the crashes with numbers
+// below crashesNext.
+func (g *Gateway) sendPull(ctx context.Context, to relay.Member, p fleet.Pull, crashesNext int64) error {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	answer, err := g.mesh.send(ctx, to.Addr, peer.Request{Pull: &p})
+	response, err := g.mesh.send(ctx, to.Addr, peer.Request{Pull: &p})
 	if err != nil {
 		return err
 	}
 	now := g.Now()
-	if answer.Claim == nil {
-		return errNotKnown
+	if response.Claim == nil {
+		return errUnknownHost
 	}
-	if answer.Claim.Token > g.election.Newest().Token {
-		g.election.Observe(now, *answer.Claim)
-		g.mesh.setClaimsNext(answer.Claim.Token) // It stands at the end of the topic.
+	if response.Claim.Token > g.election.Newest().Token {
+		g.election.Observe(now, *response.Claim)
+		g.mesh.setClaimsNext(response.Claim.Token) // It is the last one of the topic.
 		g.children.wake()
 	}
-	g.compareConfig(to.Addr, answer.ConfigVersion)
-	if answer.Notice == nil {
-		return nil // A newer question of this host is answered in its place.
+	g.fetchNewerConfig(to.Addr, response.ConfigVersion)
+	if response.Notice == nil {
+		return nil // A newer pull of this host is answered instead.
 	}
-	g.crashesTold.answered(to.Addr, answer.Notice.Source, crashesNext)
-	g.takeAnsweredBlocks(now, *answer.Notice)
-	g.takeSignals(now, answer.Notice.Signals)
-	g.signals.answered(answer.Notice.SignalsSum)
-	if g.accounts.hear(now, now.Add(-milliseconds(answer.Notice.HeardAgo)), answer.Notice.Accounts) {
+	g.crashCursors.acknowledge(to.Addr, response.Notice.Source, crashesNext)
+	g.mergeResponseBlocks(now, *response.Notice)
+	g.mergeSignals(now, response.Notice.Signals)
+	g.signals.acknowledge(response.Notice.SignalsSum)
+	if g.accounts.applyLevels(now, now.Add(-milliseconds(response.Notice.HeardAgo)), response.Notice.Accounts) {
 		g.children.wake()
 	}
-	if len(answer.Notice.Hosts) > 0 {
-		g.takeHosts(fleet.Batch{Entries: answer.Notice.Hosts, Next: answer.Notice.HostsNext})
+	if len(response.Notice.Hosts) > 0 {
+		g.applyHosts(fleet.Batch{Entries: response.Notice.Hosts, Next: response.Notice.HostsNext})
 	}
-	g.takeNotice(now, *answer.Notice)
-	if !answer.Controlling && milliseconds(answer.Notice.HeardAgo) > maxNewsAge {
-		return errStaleNews
+	g.applyNotice(now, *response.Notice)
+	if !response.Controlling && milliseconds(response.Notice.HeardAgo) > maxNoticeAge {
+		return errStaleUpstream
 	}
-	g.news.note(now)
+	g.notices.recordResponse(now)
 	return nil
 }
 
-// demand is what this host tells another of its own needs and of those behind it.
-func (g *Gateway) demand(now time.Time, to relay.Member, urgent bool) fleet.DemandReport {
-	if g.news.toldLately(now, to.Addr) && !urgent {
+// demandFor returns the demand of this host and of those behind it, or a short report if to
+// received the full demand recently.
+func (g *Gateway) demandFor(now time.Time, to relay.Member, urgent bool) fleet.DemandReport {
+	if g.notices.demandSentRecently(now, to.Addr) && !urgent {
 		return fleet.DemandReport{
 			Host:          g.self.Host,
 			Incarnation:   g.self.Incarnation,
@@ -200,10 +200,10 @@
 			Same:          true,
 		}
 	}
-	return g.sums.Sum(now, g.report(now))
+	return g.demandSums.Sum(now, g.demandReport(now))
 }
 
-// upstreams are the hosts that this one asks, best first.
+// upstreams returns the hosts to pull from, best first.
 func (g *Gateway) upstreams() []relay.Member {
 	claim := g.election.Newest()
 	controller := relay.Member{Name: claim.Holder.Host, Addr: claim.Holder.Addr}
@@ -213,8 +213,8 @@
 	return g.mesh.upstreams(controller)
 }
 
-// heard is this host's last sign of life of the controller.
-func (g *Gateway) heard(now time.Time) fleet.Heard {
+// controllerHeard returns this host's last contact with the controller.
+func (g *Gateway) controllerHeard(now time.Time) fleet.Heard {
 	token := g.election.Newest().Token
 	return fleet.Heard{
 		Host:     g.self.Host,
@@ -224,9 +224,9 @@
 	}
 }
 
-// report is the demand of this host's own requests.
-func (g *Gateway) report(now time.Time) fleet.DemandReport {
-	report := fleet.DemandReport{
+// demandReport returns the demand of this host's own requests.
+func (g *Gateway) demandReport(now time.Time) fleet.DemandReport {
+	demandReport := fleet.DemandReport{
 		Host:          g.self.Host,
 		Incarnation:   g.self.Incarnation,
 		Seq:           g.reports.Add(1),
@@ -250,7 +250,7 @@
 		if d.Waiting > 0 {
 			n.DueIn = d.Due.Sub(now).Milliseconds()
 		}
-		report.Needs = append(report.Needs, n)
+		demandReport.Needs = append(demandReport.Needs, n)
 	}
-	return report
+	return demandReport
 }
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -8,20 +8,21 @@
 	"github.com/tealvane/tealvane/pkg/quarantine"
 )
 
-// maxCrashesTold bounds the crashes in one question, some 40 bytes each: together a
-// fiftieth of what the slowest link in use (10 Mbit/s) carries until the next question, with
-// which the rest goes.
-const maxCrashesTold = 128
+// maxCrashesPerPull bounds the crashes in one pull, to limit the bandwidth on slow links. The
+// rest follows with the next pull.
+const maxCrashesPerPull = 128
 
 const (
-	// ownSpan is over what time for each host the hosts that hear nobody try copies of a
-	// suspect: longer than one needs to learn from the store what became of another's.
-	ownSpan = time.Second
-	// maxOwnSpan bounds the sum: the requests wait for it, or are refused.
-	maxOwnSpan = 10 * time.Second
+	// isolatedTrialSpanPerHost, times the number of hosts, is the time over which hosts that
+	// receive no updates spread their trials of a suspect request. It exceeds the time it takes
+	// to learn the outcome of another host's trial from the store.
+	isolatedTrialSpanPerHost = time.Second
+	// maxIsolatedTrialSpan bounds the total, since requests wait for their trial or are
+	// refused.
+	maxIsolatedTrialSpan = 10 * time.Second
 )
 
-// newGuard returns what keeps requests that crash endpoints from them.
+// newGuard returns the guard that blocks requests that crash endpoints.
 func (g *Gateway) newGuard() *quarantine.Guard {
 	return quarantine.NewGuard(quarantine.Config{
 		Host:      g.self.Incarnation,
@@ -29,116 +30,116 @@
 		Announced: g.directory.Announced,
 		Crashed: func([]fleet.Crash) {
 			g.metrics.count("endpoints_crashed", nil)
-			g.wantReport()
+			g.requestReport()
 		},
-		Moved: g.tellBlocks,
+		Moved: g.announceBlocks,
 		Now:   g.Now,
 		Log:   g.log,
 	})
 }
 
-// guardRequests blocks requests that are to blame for the ends of endpoints. The controller
-// decides, who hears of all ends; a host that is told nothing decides by what it knows.
-func (g *Gateway) guardRequests(now time.Time) {
+// updateBlocks decides which requests to block. The controller decides, since it receives all
+// crashes; a host that receives no updates decides by what it knows.
+func (g *Gateway) updateBlocks(now time.Time) {
 	g.guard.Tend(now)
-	controls := g.election.Held() != 0
-	if !controls && g.news.recent(now) {
+	isController := g.election.Held() != 0
+	if !isController && g.notices.recent(now) {
 		return
 	}
 	if g.guard.Decide(now) {
-		g.tellBlocks()
+		g.announceBlocks()
 	}
 	switch {
-	case controls:
+	case isController:
 		g.guard.Grant(now)
-	case g.news.silence(now) > cutOffFor:
-		g.guard.GrantOwn(now, min(maxOwnSpan, time.Duration(g.mesh.hosts())*ownSpan))
+	case g.notices.age(now) > isolationTimeout:
+		g.guard.GrantOwn(now, min(maxIsolatedTrialSpan, time.Duration(g.mesh.hosts())*isolatedTrialSpanPerHost))
 	}
 }
 
-// tellBlocks lets the hosts that ask this one, and the one that it asks, hear of new blocks.
-func (g *Gateway) tellBlocks() {
-	g.blocks.differs.Store(true)
-	g.wantReport()
+// announceBlocks sends new blocks to the upstream host and to the children of this host.
+func (g *Gateway) announceBlocks() {
+	g.blocks.peerBehind.Store(true)
+	g.requestReport()
 	g.children.wake()
 }
 
-// crashesTold is which crashes each host that was asked has been told. It is safe for
-// concurrent use.
-type crashesTold struct {
+// crashCursors tracks which crashes each upstream host has received. It is safe for concurrent
+// use.
+type crashCursors struct {
 	mu     sync.Mutex
-	byAddr map[string]crashMark
+	byAddr map[string]crashCursor
 }
 
-// crashMark is how far one host was told.
-type crashMark struct {
-	// source is the incarnation that was told, next the number of the first crash that
-	// it has not been told.
+// crashCursor is the position of one upstream host.
+type crashCursor struct {
+	// source is the incarnation that received the crashes, next the number of the first crash
+	// that it has not received.
 	source string
 	next   int64
 }
 
-func newCrashesTold() *crashesTold { return &crashesTold{byAddr: map[string]crashMark{}} }
+func newCrashCursors() *crashCursors { return &crashCursors{byAddr: map[string]crashCursor{}} }
 
-// next is the number of the first crash that a host has not been told.
-func (t *crashesTold) next(addr string) int64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.byAddr[addr].next
+// next returns the number of the first crash that the host at addr has not received.
+func (c *crashCursors) next(addr string) int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.byAddr[addr].next
 }
 
-// answered notes that a host has answered a question with the crashes up to a number. An
-// incarnation that was not told before knows none of the earlier ones.
-func (t *crashesTold) answered(addr, source string, next int64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if m, ok := t.byAddr[addr]; ok && m.source != source {
+// acknowledge records that the host at addr has received the crashes below next. A new
+// incarnation has received none of the earlier ones.
+func (c *crashCursors) acknowledge(addr, source string, next int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if m, ok := c.byAddr[addr]; ok && m.source != source {
 		next = 0
 	}
-	t.byAddr[addr] = crashMark{source: source, next: next}
+	c.byAddr[addr] = crashCursor{source: source, next: next}
 }
 
-// addCrashes adds to a question the crashes that the host which is asked does not know, and
-// returns the number after them.
-func (g *Gateway) addCrashes(now time.Time, addr string, p *fleet.Pull) int64 {
+// addCrashesTo adds blocks to a pull, and the crashes that the host at addr has not received.
+// It returns the number of the first crash after them.
+func (g *Gateway) addCrashesTo(now time.Time, addr string, p *fleet.Pull) int64 {
 	var next int64
-	p.Crashes, next = g.guard.Ledger.Since(now, g.crashesTold.next(addr), maxCrashesTold)
-	p.BlocksSum, p.Blocks = g.blocks.inQuestion(now)
+	p.Crashes, next = g.guard.Ledger.Since(now, g.crashCursors.next(addr), maxCrashesPerPull)
+	p.BlocksSum, p.Blocks = g.blocks.forRequest(now)
 	return next
 }
 
-// takeCrashes takes in what the question of another host tells of crashes and blocks.
-func (g *Gateway) takeCrashes(now time.Time, p fleet.Pull) {
+// mergeCrashes merges the crashes and blocks of a pull.
+func (g *Gateway) mergeCrashes(now time.Time, p fleet.Pull) {
 	if g.guard.Ledger.Add(now, p.Crashes) && g.election.Held() == 0 {
-		g.wantReport()
+		g.requestReport()
 	}
-	g.takeBlocks(now, p.Blocks)
+	g.mergeBlocks(now, p.Blocks)
 }
 
-// takeBlocks takes in blocks that were decided elsewhere, and lets others hear of them.
-func (g *Gateway) takeBlocks(now time.Time, blocks []fleet.Block) {
+// mergeBlocks merges blocks decided by other hosts, and announces new ones.
+func (g *Gateway) mergeBlocks(now time.Time, blocks []fleet.Block) {
 	if g.addBlocks(now, blocks) {
-		g.tellBlocks()
+		g.announceBlocks()
 	}
 }
 
-// addBlocks takes in blocks and tells whether any is new.
+// addBlocks adds blocks and reports whether any is new.
 func (g *Gateway) addBlocks(now time.Time, blocks []fleet.Block) bool {
 	added := g.guard.Take(now, blocks)
 	for _, b := range added {
 		if b.Suspect {
-			g.log.Info("trial", "content", fleet.Hex(b.Request.Content), "round", b.Trial.Round, "stage", b.Trial.Stage.String(), "host", b.Trial.Host)
+			g.log.Info("trial of suspect request", "content", fleet.Hex(b.Request.Content), "round", b.Trial.Round, "stage", b.Trial.Stage.String(), "host", b.Trial.Host)
 			continue
 		}
-		g.log.Info("block", "content", fleet.Hex(b.Request.Content), "caller", fleet.Hex(b.Request.Caller), "age_s", now.Unix()-b.Since)
+		g.log.Info("request blocked", "content", fleet.Hex(b.Request.Content), "caller", fleet.Hex(b.Request.Caller), "age_s", now.Unix()-b.Since)
 	}
 	return len(added) > 0
 }
 
-// takeAnsweredBlocks takes in the blocks of an answer.
-func (g *Gateway) takeAnsweredBlocks(now time.Time, n fleet.Notice) {
+// mergeResponseBlocks merges the blocks of a response to a pull.
+func (g *Gateway) mergeResponseBlocks(now time.Time, n fleet.Notice) {
 	if g.addBlocks(now, n.Blocks) {
 		g.children.wake()
 	}
-	g.blocks.answered(n.BlocksSum)
+	g.blocks.acknowledge(n.BlocksSum)
 }
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -16,25 +16,26 @@
 	"pgregory.net/rapid"
 )
 
-// gossip is a tree of hosts that ask one another by messages which may be lost.
-type gossip struct {
+// relayTree is a tree of hosts that pull from one another over a lossy network.
+type relayTree struct {
 	now   time.Time
 	hosts []*Gateway
-	// asks is whom each host asks: its relay, or the controller at 0.
-	asks []int
-	// told counts the crashes that each host has sent.
-	told []int
+	// upstream is the index of the host that each host pulls from: its relay, or the controller
+	// at 0.
+	upstream []int
+	// crashesSent is the number of crashes that each host has sent.
+	crashesSent []int
 }
 
-// newGossip returns a controller, relays that ask it and hosts that ask them.
-func newGossip(relays, behind int) *gossip {
-	t := &gossip{now: time.Unix(1000, 0)}
-	add := func(asks int) {
+// newRelayTree returns a tree of a controller, relays and hosts behind the relays.
+func newRelayTree(relays, behind int) *relayTree {
+	t := &relayTree{now: time.Unix(1000, 0)}
+	add := func(upstream int) {
 		g := relayHost()
 		g.self = orders.Holder{Host: fmt.Sprint(len(t.hosts)), Incarnation: fmt.Sprint("incarnation ", len(t.hosts))}
 		t.hosts = append(t.hosts, g)
-		t.asks = append(t.asks, asks)
-		t.told = append(t.told, 0)
+		t.upstream = append(t.upstream, upstream)
+		t.crashesSent = append(t.crashesSent, 0)
 	}
 	add(0)
 	for range relays {
@@ -46,32 +47,32 @@
 	return t
 }
 
-// ask lets a host ask its upstream; the question, or its answer, may be lost.
-func (t *gossip) ask(i int, question, answer bool) {
-	from, to := t.hosts[i], t.hosts[t.asks[i]]
+// pull makes a host pull from its upstream host. The request or the response may be lost.
+func (t *relayTree) pull(i int, requestArrives, responseArrives bool) {
+	from, to := t.hosts[i], t.hosts[t.upstream[i]]
 	if from == to {
 		return
 	}
 	var p fleet.Pull
-	next := from.addCrashes(t.now, to.self.Host, &p)
-	t.told[i] += len(p.Crashes)
-	if !question {
+	next := from.addCrashesTo(t.now, to.self.Host, &p)
+	t.crashesSent[i] += len(p.Crashes)
+	if !requestArrives {
 		return
 	}
-	to.takeCrashes(t.now, p)
-	if !answer {
+	to.mergeCrashes(t.now, p)
+	if !responseArrives {
 		return
 	}
 	var n fleet.Notice
-	n.BlocksSum, n.Blocks = to.blocks.inAnswer(t.now, p.BlocksSum)
-	from.crashesTold.answered(to.self.Host, to.self.Incarnation, next)
-	from.takeAnsweredBlocks(t.now, n)
+	n.BlocksSum, n.Blocks = to.blocks.forResponse(t.now, p.BlocksSum)
+	from.crashCursors.acknowledge(to.self.Host, to.self.Incarnation, next)
+	from.mergeResponseBlocks(t.now, n)
 }
 
-// round lets all hosts ask once without a loss.
-func (t *gossip) round() {
+// round makes every host pull once without loss.
+func (t *relayTree) round() {
 	for i := range t.hosts {
-		t.ask(i, true, true)
+		t.pull(i, true, true)
 	}
 	t.now = t.now.Add(250 * time.Millisecond)
 }
@@ -80,114 +81,109 @@
 	return []fleet.Crash{{Request: fleet.Fingerprint{Content: 1, Caller: 2}, Endpoint: fleet.EndpointID(endpoint)}}
 }
 
-// Hosts of several zones see one end each of endpoints under one request. Messages between
-// them are lost, a relay dies, and the controller starts anew. All have to know the
-// request soon after the messages come through again, and nobody may send what it has
-// told again and again: 295 hosts would have no link left for their requests.
-func TestAllHostsLearnOfABlock(t *testing.T) {
+// Guards against hosts not learning of a block after lost messages, a dead relay or a restarted
+// controller, and against sending the same crashes repeatedly.
+func TestAllHostsLearnOfBlock(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x := newGossip(rapid.IntRange(1, 3).Draw(t, "relays"), rapid.IntRange(3, 12).Draw(t, "hosts"))
-		seen := rapid.SliceOfNDistinct(rapid.IntRange(0, len(x.hosts)-1), 3, 3, rapid.ID[int]).Draw(t, "seen by")
+		tree := newRelayTree(rapid.IntRange(1, 3).Draw(t, "relays"), rapid.IntRange(3, 12).Draw(t, "hosts"))
+		seen := rapid.SliceOfNDistinct(rapid.IntRange(0, len(tree.hosts)-1), 3, 3, rapid.ID[int]).Draw(t, "seen by")
 		for n, i := range seen {
-			x.hosts[i].guard.Ledger.Add(x.now, crashOf(fmt.Sprint("e", n)))
+			tree.hosts[i].guard.Ledger.Add(tree.now, crashOf(fmt.Sprint("e", n)))
 		}
 		lost := rapid.SliceOfN(rapid.SampledFrom([]int{0, 0, 1, 2}), 30, 30).Draw(t, "lost")
 		for n, l := range lost {
-			x.ask(n%len(x.hosts), l != 1, l == 0)
+			tree.pull(n%len(tree.hosts), l != 1, l == 0)
 		}
 		if rapid.Bool().Draw(t, "controller starts anew") && !slices.Contains(seen, 0) {
-			fresh := relayHost()
-			fresh.self = orders.Holder{Host: "0", Incarnation: "new"}
-			x.hosts[0] = fresh
+			restarted := relayHost()
+			restarted.self = orders.Holder{Host: "0", Incarnation: "new"}
+			tree.hosts[0] = restarted
 		}
 		if relay := rapid.IntRange(0, 3).Draw(t, "dead relay"); relay > 0 && !slices.Contains(seen, relay) {
-			for i, asks := range x.asks {
-				if asks == relay {
-					x.asks[i] = 0
+			for i, upstream := range tree.upstream {
+				if upstream == relay {
+					tree.upstream[i] = 0
 				}
 			}
 		}
 		for range 4 {
-			x.round()
+			tree.round()
 		}
-		x.now = x.now.Add(time.Second)
-		x.hosts[0].guard.Decide(x.now)
+		tree.now = tree.now.Add(time.Second)
+		tree.hosts[0].guard.Decide(tree.now)
 		for range 3 {
-			x.round()
+			tree.round()
 		}
-		for i, g := range x.hosts {
+		for i, g := range tree.hosts {
 			if !g.guard.Blocked(fleet.Fingerprint{Content: 1, Caller: 2}) {
 				t.Fatalf("host %d does not know of the block", i)
 			}
 		}
-		before := slices.Clone(x.told)
+		before := slices.Clone(tree.crashesSent)
 		for range 3 {
-			x.round()
+			tree.round()
 		}
-		if !slices.Equal(before, x.told) {
-			t.Fatalf("hosts have told %v crashes, then %v", before, x.told)
+		if !slices.Equal(before, tree.crashesSent) {
+			t.Fatalf("hosts had sent %v crashes, then %v; want no more", before, tree.crashesSent)
 		}
 	})
 }
 
-// A host knows a block that the one which it asks does not: it has read it from the store, or
-// that one has started anew. The next question tells it, and the one after it no more.
-func TestBlockGoesUpwards(t *testing.T) {
+// Guards against a block that the upstream host lacks not being sent upstream, or being sent
+// repeatedly.
+func TestBlockIsSentUpstream(t *testing.T) {
 	is := is.New(t)
-	x := newGossip(1, 1)
-	block := fleet.Block{Request: fleet.BlockedRequest{Content: 1}, Since: x.now.Unix()}
-	x.hosts[2].takeBlocks(x.now, []fleet.Block{block})
-	x.round()
-	x.round()
-	x.round()
-	is.Equal(x.hosts[0].guard.Blocks.All(time.Now()), []fleet.Block{block})
+	tree := newRelayTree(1, 1)
+	block := fleet.Block{Request: fleet.BlockedRequest{Content: 1}, Since: tree.now.Unix()}
+	tree.hosts[2].mergeBlocks(tree.now, []fleet.Block{block})
+	tree.round()
+	tree.round()
+	tree.round()
+	is.Equal(tree.hosts[0].guard.Blocks.All(time.Now()), []fleet.Block{block})
 	var p fleet.Pull
-	x.hosts[2].addCrashes(x.now, "1", &p)
+	tree.hosts[2].addCrashesTo(tree.now, "1", &p)
 	is.Equal(len(p.Blocks), 0)
 }
 
-// The controller hears of the second end under a request and writes both to the store; each
-// record that says nothing more would be a call. A host that is told what happens writes
-// nothing, unless the block is not in the store long after.
-func TestWhatIsWrittenToTheStore(t *testing.T) {
+// Guards against redundant writes of crash records, and against a block that is missing in the
+// store.
+func TestCrashRecordsToWrite(t *testing.T) {
 	is := is.New(t)
 	g := relayHost()
 	now := g.Now()
-	g.news.note(now)
+	g.notices.recordResponse(now)
 	g.guard.Ledger.Add(now, crashOf("e1"))
 	g.guard.Ledger.Add(now, crashOf("e2"))
-	is.Equal(len(g.recordsToKeep(now, false)), 0) // it is told, and does not control
-	later := now.Add(2 * cutOffFor)
-	records := g.recordsToKeep(later, false) // it is cut off
+	is.Equal(len(g.recordsToWrite(now, false)), 0) // receives updates and is not the controller
+	later := now.Add(2 * isolationTimeout)
+	records := g.recordsToWrite(later, false) // isolated
 	is.Equal(len(records), 1)
 	is.Equal(len(records[0].Crashes), 2)
-	g.crashesKept.set(1, records[0])
-	is.Equal(len(g.recordsToKeep(later, false)), 0)
+	g.storedCrashes.set(1, records[0])
+	is.Equal(len(g.recordsToWrite(later, false)), 0)
 	g.guard.Blocks.Add(later, []fleet.Block{{Request: fleet.BlockedRequest{Content: 1, Caller: 2}, Since: later.Unix()}})
-	is.Equal(len(g.recordsToKeep(later, false)), 1)
-	g.news.note(later)
-	is.Equal(len(g.recordsToKeep(later, false)), 0) // the controller writes it
-	is.Equal(len(g.recordsToKeep(later, true)), 1)  // it has not
+	is.Equal(len(g.recordsToWrite(later, false)), 1)
+	g.notices.recordResponse(later)
+	is.Equal(len(g.recordsToWrite(later, false)), 0) // the controller writes it
+	is.Equal(len(g.recordsToWrite(later, true)), 1)  // the controller has not written it
 }
 
-// A controller runs for weeks. Records of requests that ended endpoints an hour ago stood in the
-// store for ever, and each host read all of them at its start.
-func TestOldRecordsAreRemoved(t *testing.T) {
+// Guards against expired crash records staying in the store forever.
+func TestExpiredRecordsAreRemoved(t *testing.T) {
 	is := is.New(t)
-	k := newKeptCrashes()
+	k := newStoredCrashes()
 	now := time.Unix(10_000, 0)
 	k.set(1, crashRecord{Written: now.Add(-quarantine.BlockLife - time.Second).UnixMilli()})
 	k.set(2, crashRecord{Written: now.UnixMilli()})
 	k.prune(now)
-	is.Equal(k.takeStale(), []string{"1"})
-	is.Equal(len(k.takeStale()), 0)
+	is.Equal(k.drainStale(), []string{"1"})
+	is.Equal(len(k.drainStale()), 0)
 	is.Equal(len(k.byContent), 1)
 }
 
-// A record grew old and was marked for removal at a host that does not give orders. The request
-// came back, its record was written anew, and the host took over: it removed the new record,
-// and the block was lost with the next loss of power of all hosts.
-func TestRecordWrittenAnewIsNotRemoved(t *testing.T) {
+// Guards against a new controller removing a record that was renewed after it had been marked
+// for removal.
+func TestRenewedRecordIsNotRemoved(t *testing.T) {
 	is := is.New(t)
 	g := relayHost()
 	now := g.Now()
@@ -197,18 +193,18 @@
 		return fleet.Entry{Key: fleet.Hex(1), Value: value}
 	}
 	old := now.Add(-2 * quarantine.BlockLife)
-	g.takeCrashRecords(fleet.Batch{Entries: []fleet.Entry{entry(old)}})
-	g.takeCrashRecords(fleet.Batch{Entries: []fleet.Entry{entry(now)}})
-	is.Equal(len(g.crashesKept.takeStale()), 0)
-	g.takeCrashRecords(fleet.Batch{Entries: []fleet.Entry{entry(old)}})
-	g.takeCrashRecords(fleet.Batch{Entries: []fleet.Entry{{Key: fleet.Hex(1)}}}) // another host has removed it
-	is.Equal(len(g.crashesKept.takeStale()), 0)
-	is.True(g.crashesKept.lacks(1, crashRecord{Crashes: crashOf("e")})) // and what counts is written again
+	g.applyCrashRecords(fleet.Batch{Entries: []fleet.Entry{entry(old)}})
+	g.applyCrashRecords(fleet.Batch{Entries: []fleet.Entry{entry(now)}})
+	is.Equal(len(g.storedCrashes.drainStale()), 0)
+	g.applyCrashRecords(fleet.Batch{Entries: []fleet.Entry{entry(old)}})
+	g.applyCrashRecords(fleet.Batch{Entries: []fleet.Entry{{Key: fleet.Hex(1)}}}) // another host has removed it
+	is.Equal(len(g.storedCrashes.drainStale()), 0)
+	is.True(g.storedCrashes.needsWrite(1, crashRecord{Crashes: crashOf("e")})) // written again
 }
 
-// The controller hears of all ends and decides; a host that is told nothing has to go by what
-// it knows, or would send a harmful request to endpoints until somebody speaks to it again.
-func TestWhoDecides(t *testing.T) {
+// Guards against hosts other than the controller deciding blocks while they receive updates,
+// and against an isolated host never deciding.
+func TestWhichHostDecidesBlocks(t *testing.T) {
 	is := is.New(t)
 	g := relayHost()
 	start := g.Now()
@@ -216,38 +212,37 @@
 		g.guard.Ledger.Add(start, crashOf(fmt.Sprint("e", i)))
 	}
 	now := start.Add(2 * time.Second)
-	g.news.note(now)
-	g.guardRequests(now)
+	g.notices.recordResponse(now)
+	g.updateBlocks(now)
 	is.Equal(g.guard.Blocks.Count(), 0)
-	g.guardRequests(now.Add(newsLife))
+	g.updateBlocks(now.Add(noticeTTL))
 	is.Equal(g.guard.Blocks.Count(), 1)
 }
 
-// A suspect is told to all hosts, and is none to write down: its ends are. A record for it would
-// make a call to the store for each request that ran at two ends.
+// Guards against writing records for suspects, whose crashes are stored anyway.
 func TestSuspectsAreNotWritten(t *testing.T) {
 	is := is.New(t)
 	g := relayHost()
 	now := g.Now()
 	g.guard.Blocks.Add(now, []fleet.Block{{Request: fleet.BlockedRequest{Content: 1}, Since: now.Unix(), Suspect: true}})
-	is.Equal(len(g.recordsToKeep(now.Add(2*cutOffFor), true)), 0)
+	is.Equal(len(g.recordsToWrite(now.Add(2*isolationTimeout), true)), 0)
 }
 
-// Hosts start together, and the first ones read the entries of a few others. Each of them took
-// itself for a relay and read all topics.
-func TestHostExpectsNewsWhileOthersStart(t *testing.T) {
+// Guards against hosts that start together considering themselves relays before they know each
+// other.
+func TestStartingHostExpectsUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := relayHost()
-		g.reads.SetLoaded(fleet.TopicHosts)
-		g.mesh.learn("other", hostEntry{Addr: "o:1", Fingerprint: peer.Fingerprint{1}})
-		is.True(g.mesh.relaying())
-		is.True(g.expectsNews()) // more may come
-		time.Sleep(gatherTime)
-		is.True(!g.expectsNews())
-		g.mesh.learn("third", hostEntry{Addr: "t:1", Fingerprint: peer.Fingerprint{2}})
-		is.True(g.expectsNews())
-		time.Sleep(startGrace)
-		is.True(!g.expectsNews())
+		g.storeReads.SetLoaded(fleet.TopicHosts)
+		g.mesh.updatePeer("other", hostEntry{Addr: "o:1", Fingerprint: peer.Fingerprint{1}})
+		is.True(g.mesh.isRelay())
+		is.True(g.expectsUpdates()) // more hosts may follow
+		time.Sleep(hostBatchDelay)
+		is.True(!g.expectsUpdates())
+		g.mesh.updatePeer("third", hostEntry{Addr: "t:1", Fingerprint: peer.Fingerprint{2}})
+		is.True(g.expectsUpdates())
+		time.Sleep(startupGracePeriod)
+		is.True(!g.expectsUpdates())
 	})
 }
--- a/pkg/gateway/settings.go
+++ b/pkg/gateway/settings.go
@@ -12,41 +12,41 @@
 	"github.com/tealvane/tealvane/pkg/retry"
 )
 
-// Settings are the settings of one entry host on the platform. Fields that are
-// not known are ignored: the platform may add some.
+// Settings are the settings of an entry host. Unknown fields are ignored, since the platform
+// may add some.
 type Settings struct {
-	// Host is the name of the host, unique among those that run.
+	// Host is the name of the host, unique among running hosts.
 	Host string `yaml:"host"`
 	Zone string `yaml:"availability_zone"`
-	// Listen holds addresses as IP number and port.
+	// Listen holds addresses in the form IP:port.
 	Listen struct {
 		Callers   string `yaml:"callers"`
 		Readiness string `yaml:"readiness"`
-		// Peers is a UDP address that other hosts reach.
+		// Peers is the UDP address that other hosts connect to.
 		Peers string `yaml:"peers"`
-		// Metrics may be empty.
+		// Metrics is optional.
 		Metrics string `yaml:"metrics"`
 	} `yaml:"listen"`
 	Store struct {
 		Address string `yaml:"address"`
 	} `yaml:"store"`
-	// OTLP is the base URL of a trace collector; empty exports no traces.
+	// OTLP is the base URL of a trace collector. Traces are not exported if it is empty.
 	OTLP   string `yaml:"otlp"`
 	Limits struct {
 		Cores int `yaml:"cores"`
-		// CPUShare is the part of each core that the host gets; 0 if it is not stated.
+		// CPUShare is the fraction of each core available to the host, or 0 if unknown.
 		CPUShare float64 `yaml:"cpu_share"`
 		MemoryMB int64   `yaml:"memory_mb"`
-		// LinkMbps is the bandwidth of the host's link; 0 if it is not stated.
+		// LinkMbps is the bandwidth of the host's network link, or 0 if unknown.
 		LinkMbps float64 `yaml:"link_mbps"`
 	} `yaml:"limits"`
 	Timing struct {
-		// Lease is the time within which two hosts must not give orders in turn.
+		// Lease is the period within which two hosts must not issue orders alternately.
 		Lease time.Duration `yaml:"lease"`
-		// Drain is how soon after an endpoint has announced its leaving it must
-		// get no new requests.
+		// Drain is the time after an endpoint announces that it is leaving within which it must
+		// stop receiving new requests.
 		Drain time.Duration `yaml:"drain"`
-		// Shutdown is how long a stopping host has until it is killed.
+		// Shutdown is the time from the stop signal until the host is killed.
 		Shutdown time.Duration `yaml:"shutdown"`
 	} `yaml:"timing"`
 	// Retry bounds retries over all hosts.
@@ -56,19 +56,19 @@
 		Window time.Duration `yaml:"window"`
 	} `yaml:"retry"`
 	Allowances struct {
-		// All hosts together may let through of an account the part Over of its allowance and
-		// Slack units more in any span of Window; 0 where nothing is stated.
+		// All hosts together may admit, for one account, up to the fraction Over and Slack
+		// units more than its allowance in any span of Window. 0 means not configured.
 		Over   float64       `yaml:"over"`
 		Slack  float64       `yaml:"slack"`
 		Window time.Duration `yaml:"window"`
 	} `yaml:"allowances"`
 	Orders struct {
-		// EndpointsCheckTokens tells whether endpoints refuse old fencing tokens.
+		// EndpointsCheckTokens reports whether endpoints reject old fencing tokens.
 		EndpointsCheckTokens bool `yaml:"endpoints_check_tokens"`
 	} `yaml:"orders"`
 }
 
-// cores is the processor that the host gets, 0 if it is not stated.
+// cores returns the host's CPU capacity in cores, or 0 if not configured.
 func (s Settings) cores() float64 { return float64(s.Limits.Cores) * s.Limits.CPUShare }
 
 func (s Settings) retryLimits() retry.Limits {
@@ -79,16 +79,16 @@
 	return allowance.Tolerance{Over: s.Allowances.Over, Slack: s.Allowances.Slack, Window: s.Allowances.Window}
 }
 
-// LoadSettings reads and checks a settings file. All findings come at once.
+// LoadSettings reads and validates a settings file. It reports all findings together.
 func LoadSettings(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return Settings{}, errors.Wrap(err, "settings")
+		return Settings{}, errors.Wrap(err, "read settings")
 	}
 	return ParseSettings(file, data)
 }
 
-// ParseSettings decodes and checks settings; file names them in findings.
+// ParseSettings decodes and validates settings. Findings refer to file.
 func ParseSettings(file string, data []byte) (Settings, error) {
 	var s Settings
 	if err := yaml.Unmarshal(data, &s); err != nil {
@@ -156,12 +156,12 @@
 	}
 }
 
-// Reload takes in settings that were read again. Addresses and limits hold for
-// the life of a process; a change of them is named in the log.
+// Reload validates changed settings. Settings apply only at the start of a process, so a change
+// is only logged.
 func (g *Gateway) Reload(s Settings, err error) {
 	if err != nil {
-		g.log.Error("settings are not valid; the former ones stay", "error", err.Error())
+		g.log.Error("invalid settings; keeping the current ones", "error", err.Error())
 		return
 	}
-	g.log.Info("reload", "changed", s != g.settings)
+	g.log.Info("settings read again; changes apply at the next start", "changed", s != g.settings)
 }
