--- a/pkg/gateway/signals.go
+++ b/pkg/gateway/signals.go
@@ -10,15 +10,17 @@
 	"github.com/tealvane/tealvane/pkg/serve"
 )
 
-// signalChanged takes in what an endpoint has told this host, and lets others hear of it.
+// signalChanged handles a signal that an endpoint has sent to this host, and announces it to
+// other hosts.
 func (g *Gateway) signalChanged(s fleet.EndpointSignal) {
 	g.logSignal(s, "answer")
-	g.heedLeaving(s)
-	g.tellSignals()
+	g.applyLeaving(s)
+	g.announceSignals()
 }
 
-// heedLeaving keeps requests and models from an endpoint that leaves.
-func (g *Gateway) heedLeaving(s fleet.EndpointSignal) {
+// applyLeaving marks an endpoint that has announced that it is leaving, so that it gets no new
+// requests or models.
+func (g *Gateway) applyLeaving(s fleet.EndpointSignal) {
 	if s.Leaving {
 		g.directory.Leave(s.Endpoint)
 		g.endpointsChanged()
@@ -26,44 +28,44 @@
 }
 
 func (g *Gateway) logSignal(s fleet.EndpointSignal, from string) {
-	g.log.Info("endpoint signals", "endpoint", s.Endpoint, "limited", s.Limited, "rate", s.Rate, "leaving", s.Leaving, "version", s.Version, "from", from)
+	g.log.Info("endpoint signal changed", "endpoint", s.Endpoint, "limited", s.Limited, "rate", s.Rate, "leaving", s.Leaving, "version", s.Version, "from", from)
 }
 
-// tellSignals lets the hosts that ask this one, and the one that it asks, hear of signals.
-func (g *Gateway) tellSignals() {
-	g.signals.differs.Store(true)
-	g.wantReport()
+// announceSignals sends endpoint signals to the upstream host and to the children of this host.
+func (g *Gateway) announceSignals() {
+	g.signals.peerBehind.Store(true)
+	g.requestReport()
 	g.children.wake()
 }
 
-// takeSignals takes in what another host tells, and lets others hear of it. A host that does not
-// know yet that an endpoint is gone goes on to tell of it: taken in and dropped again each time,
-// it would wake all hosts.
-func (g *Gateway) takeSignals(now time.Time, told []fleet.EndpointSignal) {
-	told = slices.DeleteFunc(told, func(s fleet.EndpointSignal) bool { return g.directory.Gone(s.Endpoint) })
-	news := g.health.Signals.Take(now, told)
-	for _, s := range news {
+// mergeSignals merges signals received from another host, and announces new ones. Signals of
+// removed endpoints are ignored: otherwise hosts that still know such an endpoint would cause
+// repeated wakeups of all hosts.
+func (g *Gateway) mergeSignals(now time.Time, received []fleet.EndpointSignal) {
+	received = slices.DeleteFunc(received, func(s fleet.EndpointSignal) bool { return g.directory.Gone(s.Endpoint) })
+	changed := g.health.Signals.Take(now, received)
+	for _, s := range changed {
 		g.logSignal(s, "host")
-		g.heedLeaving(s)
+		g.applyLeaving(s)
 	}
-	if len(news) > 0 {
-		g.tellSignals()
+	if len(changed) > 0 {
+		g.announceSignals()
 	}
 }
 
-// call is a kind of calls to endpoints beside clients' requests.
-type call string
+// callKind is a kind of call to an endpoint other than a client's request.
+type callKind string
 
 const (
-	callOrder  call = "order"
-	callReport call = "report"
-	callRun    call = "run"
-	callEnded  call = "ended"
+	callOrder  callKind = "order"
+	callReport callKind = "report"
+	callRun    callKind = "run"
+	callEnded  callKind = "ended"
 )
 
-// mayCall counts a call and returns an error where the endpoint's request rate, or a pause that it
-// has asked for, leaves no room for it.
-func (g *Gateway) mayCall(c call, e fleet.Endpoint) error {
+// allowCall counts a call. It returns orders.ErrLimited if the endpoint's rate limit, or a
+// pause that it has requested, leaves no room for it.
+func (g *Gateway) allowCall(c callKind, e fleet.Endpoint) error {
 	if !g.health.Signals.Use(g.Now(), e.ID) {
 		g.metrics.count("endpoint_calls_limited", map[string]string{"call": string(c)})
 		return orders.ErrLimited
@@ -72,40 +74,40 @@
 	return nil
 }
 
-// limitedEndpoints keep the calls to endpoints that are no client's requests to the rates and pauses
-// that endpoints ask for: they count there like requests.
-type limitedEndpoints struct {
+// rateLimitedEndpoints applies the rate limits and pauses of endpoints to calls other than
+// client requests, which endpoints count like requests.
+type rateLimitedEndpoints struct {
 	Endpoints
-	may func(call, fleet.Endpoint) error
+	allow func(callKind, fleet.Endpoint) error
 }
 
 // Order implements orders.Orderer.
-func (l limitedEndpoints) Order(ctx context.Context, e fleet.Endpoint, o orders.Order) (orders.Result, error) {
-	if err := l.may(callOrder, e); err != nil {
+func (l rateLimitedEndpoints) Order(ctx context.Context, e fleet.Endpoint, o orders.Order) (orders.Result, error) {
+	if err := l.allow(callOrder, e); err != nil {
 		return orders.Invalid, err
 	}
 	return l.Endpoints.Order(ctx, e, o)
 }
 
 // Report implements orders.Orderer.
-func (l limitedEndpoints) Report(ctx context.Context, e fleet.Endpoint) (fleet.Report, error) {
-	if err := l.may(callReport, e); err != nil {
+func (l rateLimitedEndpoints) Report(ctx context.Context, e fleet.Endpoint) (fleet.Report, error) {
+	if err := l.allow(callReport, e); err != nil {
 		return fleet.Report{}, err
 	}
 	return l.Endpoints.Report(ctx, e)
 }
 
 // Run implements serve.Backend.
-func (l limitedEndpoints) Run(ctx context.Context, r *serve.Request, e fleet.Endpoint) (serve.Run, error) {
-	if err := l.may(callRun, e); err != nil {
+func (l rateLimitedEndpoints) Run(ctx context.Context, r *serve.Request, e fleet.Endpoint) (serve.Run, error) {
+	if err := l.allow(callRun, e); err != nil {
 		return serve.Run{}, err
 	}
 	return l.Endpoints.Run(ctx, r, e)
 }
 
-// Ended tells whether an incarnation of an endpoint has ended.
-func (l limitedEndpoints) Ended(ctx context.Context, e fleet.Endpoint) (bool, error) {
-	if err := l.may(callEnded, e); err != nil {
+// Ended reports whether an incarnation of an endpoint has ended.
+func (l rateLimitedEndpoints) Ended(ctx context.Context, e fleet.Endpoint) (bool, error) {
+	if err := l.allow(callEnded, e); err != nil {
 		return false, err
 	}
 	return l.Endpoints.Ended(ctx, e)
--- a/pkg/gateway/signals_inner_test.go
+++ b/pkg/gateway/signals_inner_test.go
@@ -13,104 +13,103 @@
 	"github.com/tealvane/tealvane/pkg/signals"
 )
 
-// An endpoint states its request rate to one host. The others went on as before until each had
-// got such an answer itself.
-func TestLimitIsToldUpAndDown(t *testing.T) {
+// Guards against a rate limit reported to one host not reaching the others through their common
+// upstream host, and against sending it repeatedly.
+func TestRateLimitIsPropagatedThroughRelay(t *testing.T) {
 	is := is.New(t)
-	seen, asked, other := relayHost(), relayHost(), relayHost()
-	now := seen.Now()
-	seen.health.Signals.Changed = seen.signalChanged
+	observer, upstream, other := relayHost(), relayHost(), relayHost()
+	now := observer.Now()
+	observer.health.Signals.Changed = observer.signalChanged
 	rate := 2.5
-	seen.health.Signals.Observe(now, "e", signals.Answer{Rate: &rate}, now, true)
-	var up fleet.Pull
-	up.SignalsSum, up.Signals = seen.signals.inQuestion(now)
-	told := asked.telling()
-	asked.takeSignals(now, up.Signals)
-	is.True(asked.telling().newerThan(told)) // the hosts that ask it are answered at once
-	var down fleet.Notice
-	down.SignalsSum, down.Signals = asked.signals.inAnswer(now, other.health.Signals.Sum())
-	other.takeSignals(now, down.Signals)
-	other.signals.answered(down.SignalsSum)
-	for _, g := range []*Gateway{seen, asked, other} {
+	observer.health.Signals.Observe(now, "e", signals.Answer{Rate: &rate}, now, true)
+	var request fleet.Pull
+	request.SignalsSum, request.Signals = observer.signals.forRequest(now)
+	before := upstream.currentVersions()
+	upstream.mergeSignals(now, request.Signals)
+	is.True(upstream.currentVersions().anyNewerThan(before)) // pending pulls are answered at once
+	var response fleet.Notice
+	response.SignalsSum, response.Signals = upstream.signals.forResponse(now, other.health.Signals.Sum())
+	other.mergeSignals(now, response.Signals)
+	other.signals.acknowledge(response.SignalsSum)
+	for _, g := range []*Gateway{observer, upstream, other} {
 		is.True(g.health.Signals.InNeed(now, "e"))
 	}
-	// Nothing is told twice.
+	// No signal is sent twice.
 	var again fleet.Notice
-	again.SignalsSum, again.Signals = asked.signals.inAnswer(now, other.health.Signals.Sum())
+	again.SignalsSum, again.Signals = upstream.signals.forResponse(now, other.health.Signals.Sum())
 	is.Equal(len(again.Signals), 0)
-	seen.takeSignals(now, again.Signals)
-	seen.signals.answered(again.SignalsSum)
-	up.SignalsSum, up.Signals = seen.signals.inQuestion(now)
+	observer.mergeSignals(now, again.Signals)
+	observer.signals.acknowledge(again.SignalsSum)
+	request.SignalsSum, request.Signals = observer.signals.forRequest(now)
 	var next fleet.Pull
-	next.SignalsSum, next.Signals = seen.signals.inQuestion(now)
+	next.SignalsSum, next.Signals = observer.signals.forRequest(now)
 	is.Equal(len(next.Signals), 0)
 }
 
-// An endpoint that leaves tells one host, before the other has read its entry. Read later, the
-// entry made it one that takes requests.
-func TestLeavingIsToldBeforeTheEntry(t *testing.T) {
+// Guards against an entry that is read after the leaving signal making the endpoint usable
+// again.
+func TestLeavingSignalPrecedesEntry(t *testing.T) {
 	is := is.New(t)
-	seen, other := relayHost(), relayHost()
-	now := seen.Now()
-	seen.health.Signals.Changed = seen.signalChanged
-	seen.directory.Apply(now, 0, fleet.Endpoint{ID: "e", Service: "s"})
-	seen.health.Signals.Observe(now, "e", signals.Answer{Leaving: true}, now, true)
-	is.Equal(len(usable(seen, now)), 0)
-	var up fleet.Pull
-	up.SignalsSum, up.Signals = seen.signals.inQuestion(now)
-	other.takeSignals(now, up.Signals)
-	other.takeEndpoints(fleet.Batch{Entries: []fleet.Entry{{Key: "e", Value: []byte("ready")}}, Next: 1})
-	is.Equal(len(usable(other, now)), 0)
+	observer, other := relayHost(), relayHost()
+	now := observer.Now()
+	observer.health.Signals.Changed = observer.signalChanged
+	observer.directory.Apply(now, 0, fleet.Endpoint{ID: "e", Service: "s"})
+	observer.health.Signals.Observe(now, "e", signals.Answer{Leaving: true}, now, true)
+	is.Equal(len(usableEndpoints(observer, now)), 0)
+	var request fleet.Pull
+	request.SignalsSum, request.Signals = observer.signals.forRequest(now)
+	other.mergeSignals(now, request.Signals)
+	other.applyEndpoints(fleet.Batch{Entries: []fleet.Entry{{Key: "e", Value: []byte("ready")}}, Next: 1})
+	is.Equal(len(usableEndpoints(other, now)), 0)
 	known := relayHost()
 	known.directory.Apply(now, 0, fleet.Endpoint{ID: "e", Service: "s"})
-	known.takeSignals(now, up.Signals)
-	is.Equal(len(usable(known, now)), 0)
+	known.mergeSignals(now, request.Signals)
+	is.Equal(len(usableEndpoints(known, now)), 0)
 }
 
-// An endpoint that had stated a rate is gone, and one host does not know that. The others took its
-// word in and dropped it again in turn, and woke one another each time.
-func TestSignalsOfAnEndpointThatIsGoneAreNotTakenIn(t *testing.T) {
+// Guards against hosts repeatedly merging and dropping signals of an endpoint that is gone.
+func TestSignalsOfRemovedEndpointAreIgnored(t *testing.T) {
 	is := is.New(t)
 	g := relayHost()
 	now := g.Now()
 	g.directory.Apply(now, 0, fleet.Endpoint{ID: "e", Service: "s"})
 	g.directory.Remove(now, 1, "e")
-	before := g.telling()
-	g.takeSignals(now, []fleet.EndpointSignal{{Endpoint: "e", Version: 1, Limited: true, Rate: 1}})
-	is.True(!g.telling().newerThan(before))
+	before := g.currentVersions()
+	g.mergeSignals(now, []fleet.EndpointSignal{{Endpoint: "e", Version: 1, Limited: true, Rate: 1}})
+	is.True(!g.currentVersions().anyNewerThan(before))
 	is.Equal(g.health.Signals.Sum(), uint64(0))
 }
 
-// plainEndpoints answer all calls.
-type plainEndpoints struct{ Endpoints }
+// acceptingEndpoints accepts all calls.
+type acceptingEndpoints struct{ Endpoints }
 
-func (plainEndpoints) Order(context.Context, fleet.Endpoint, orders.Order) (orders.Result, error) {
+func (acceptingEndpoints) Order(context.Context, fleet.Endpoint, orders.Order) (orders.Result, error) {
 	return orders.Accepted, nil
 }
 
-func (plainEndpoints) Report(context.Context, fleet.Endpoint) (fleet.Report, error) {
+func (acceptingEndpoints) Report(context.Context, fleet.Endpoint) (fleet.Report, error) {
 	return fleet.Report{}, nil
 }
 
-func (plainEndpoints) Run(context.Context, *serve.Request, fleet.Endpoint) (serve.Run, error) {
+func (acceptingEndpoints) Run(context.Context, *serve.Request, fleet.Endpoint) (serve.Run, error) {
 	return serve.Run{}, nil
 }
 
-func (plainEndpoints) Ended(context.Context, fleet.Endpoint) (bool, error) { return false, nil }
+func (acceptingEndpoints) Ended(context.Context, fleet.Endpoint) (bool, error) { return false, nil }
 
-// An endpoint that asks for a pause, or states a rate, counts orders and questions like requests.
-// At one that had stated a single request a second they were half of what it got.
-func TestCallsKeepToWhatEndpointsAskFor(t *testing.T) {
+// Guards against orders, reports and other calls ignoring the pauses and rate limits of
+// endpoints.
+func TestCallsRespectEndpointLimits(t *testing.T) {
 	is := is.New(t)
 	g := relayHost()
 	g.metrics = newMetrics()
-	ends := limitedEndpoints{plainEndpoints{}, g.mayCall}
+	limited := rateLimitedEndpoints{acceptingEndpoints{}, g.allowCall}
 	ctx, e := context.Background(), fleet.Endpoint{ID: "e"}
 	calls := func() []error {
-		_, order := ends.Order(ctx, e, orders.Order{})
-		_, report := ends.Report(ctx, e)
-		_, run := ends.Run(ctx, nil, e)
-		_, ended := ends.Ended(ctx, e)
+		_, order := limited.Order(ctx, e, orders.Order{})
+		_, report := limited.Report(ctx, e)
+		_, run := limited.Run(ctx, nil, e)
+		_, ended := limited.Ended(ctx, e)
 		return []error{order, report, run, ended}
 	}
 	for _, err := range calls() {
--- a/pkg/gateway/stamp.go
+++ b/pkg/gateway/stamp.go
@@ -2,17 +2,16 @@
 
 import "time"
 
-// stamp is a controller's own time, in milliseconds since its start. Hosts pass it on as it
-// is, and tell the newest that they have heard, so that the controller knows by its own
-// clock since when each has certainly heard it. It says nothing to another controller,
-// whose clock began at another time.
+// stamp is a reading of the controller's clock, in milliseconds since its start. Hosts pass
+// stamps on unchanged and report the newest one back, so that the controller knows by its own
+// clock when each host has last heard it. Stamps of different controllers are not comparable.
 type stamp struct {
 	token int64
 	at    int64
 }
 
-// stampFor is what this host passes on of the holder of a token: its own time, or the last
-// that it has heard; 0 for none.
+// stampFor returns the stamp to pass on for the holder of a token: this host's own if it is the
+// holder, otherwise the last one received. It returns 0 if there is none.
 func (g *Gateway) stampFor(now time.Time, token int64) int64 {
 	if held := g.election.Held(); held != 0 && held == token {
 		return now.Sub(g.started).Milliseconds()
@@ -20,14 +19,14 @@
 	return g.stampOf(token)
 }
 
-// stampOf is the last stamp heard of the holder of a token, 0 for none.
+// stampOf returns the last stamp received from the holder of a token, or 0 if there is none.
 func (g *Gateway) stampOf(token int64) int64 {
-	s := g.heardStamp.Load()
+	s := g.lastStamp.Load()
 	if s == nil || s.token != token {
 		return 0
 	}
 	return s.at
 }
 
-// stampTime is the time of a stamp of this host.
+// stampTime returns the time of one of this host's own stamps.
 func (g *Gateway) stampTime(at int64) time.Time { return g.started.Add(milliseconds(at)) }
--- a/pkg/gateway/trace_test.go
+++ b/pkg/gateway/trace_test.go
@@ -10,8 +10,7 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// A client's trace goes on through the host: the request, its wait and the call
-// of the endpoint each have a span in it.
+// Guards against a request, its queue wait or its endpoint call missing in the client's trace.
 func TestSpanForEachHop(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -20,7 +19,7 @@
 	d := newDeployment(t)
 	d.tracer = sdktrace.NewTracerProvider(sdktrace.WithSyncer(spans))
 	d.publish(config(1))
-	d.engine("e1")
+	d.startEngine("e1")
 	h := d.startHost("a")
 	req, err := http.NewRequest(http.MethodPost, "http://"+h.Addr()+"/chat/", strings.NewReader("body"))
 	is.NoErr(err)
@@ -41,7 +40,7 @@
 		}
 		return names
 	}
-	d.until("all spans have ended", func() bool {
+	d.waitFor("all spans have ended", func() bool {
 		n := names()
 		return n["request"] && n["queue"] && n["endpoint"]
 	})
