--- a/pkg/residency/bench_test.go
+++ b/pkg/residency/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/tealvane/tealvane/pkg/residency"
 )
 
-// site returns endpoints with two models each, homes for all models and a
-// waiting request for every tenth of them.
-func site(endpoints, models int) residency.Snapshot {
+// benchSnapshot returns a snapshot with two models on each endpoint, cached copies of all
+// models and a waiting request for every tenth model.
+func benchSnapshot(endpoints, models int) residency.Snapshot {
 	snap := residency.Snapshot{Now: now, Limits: limits}
 	for i := range models {
 		waiting := 0
@@ -31,12 +31,11 @@
 	return snap
 }
 
-// BenchmarkDecide measures one decision at the sizes of today's sites, of a pool
-// at the size of two years, and of all its endpoints in one decision.
+// BenchmarkDecide measures one decision for different numbers of endpoints and models.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ endpoints, models int }{{9, 50}, {18, 96}, {100, 310}, {1000, 310}, {12000, 310}} {
 		b.Run(fmt.Sprintf("%d endpoints, %d models", size.endpoints, size.models), func(b *testing.B) {
-			snap := site(size.endpoints, size.models)
+			snap := benchSnapshot(size.endpoints, size.models)
 			for b.Loop() {
 				residency.Decide(snap)
 			}
--- a/pkg/residency/residency.go
+++ b/pkg/residency/residency.go
@@ -1,13 +1,11 @@
-// Package residency decides which models an endpoint's memory holds, where more
-// models are asked for than fit. It is a pure function of a snapshot: the controller
-// of orders checks each decision again against what the endpoint says of itself.
+// Package residency decides which models the endpoints hold in memory when more models are
+// in use than fit. Decide is a pure function of a snapshot. The controller in package
+// orders checks each decision against the endpoint's own state before it acts on it.
 //
-// The load pattern: a few models take most requests and change during the day;
-// many models get a request every few seconds. The weight store does a load in
-// seconds and few at once, while an endpoint reloads a model that it has held
-// before from its own memory or disk in under a second. So each rare model has
-// home endpoints, where its copy lies, and is swapped in there for the requests
-// that wait.
+// A few hot models receive most requests, and many models receive one every few seconds.
+// The weight store is slow and runs few loads at once, whereas an endpoint reloads a model
+// from its own memory or disk in under a second. A rarely used model is therefore swapped
+// in at an endpoint that has a cached copy when requests wait for it.
 package residency
 
 import (
@@ -18,7 +16,7 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// Tier is where an endpoint has a copy of a model's weights.
+// Tier is where an endpoint holds a copy of a model's weights.
 type Tier int
 
 // The tiers, slowest first.
@@ -35,29 +33,30 @@
 type Resident struct {
 	Model string
 	MB    float64
-	// Ready models serve; others are loading.
+	// Ready is false while the model is loading.
 	Ready bool
 	// Since is when the model became ready.
 	Since time.Time
-	// Leaving models are being unloaded.
+	// Leaving is set while the model is being unloaded.
 	Leaving bool
-	// Adapters is the number held or loading.
+	// Adapters is the number of adapters that are loaded or loading.
 	Adapters int
 }
 
-// Endpoint is one endpoint as far as decisions go.
+// Endpoint is the state of an endpoint.
 type Endpoint struct {
 	ID         fleet.EndpointID
 	Zone       string
 	CapacityMB float64
 	Residents  []Resident
-	// Copies names the models that reload fast here.
+	// Copies maps the models that the endpoint can reload without the weight store to the
+	// tier of the copy.
 	Copies map[string]Tier
-	// Busy endpoints carry out an order and take no other.
+	// Busy is set while the endpoint executes an order. It accepts no other.
 	Busy bool
 }
 
-// usedMB is the memory that is taken or about to be.
+// usedMB returns the memory in use, including models and adapters that are loading.
 func (e *Endpoint) usedMB(models map[string]*Model) float64 {
 	sum := 0.0
 	for _, r := range e.Residents {
@@ -69,46 +68,46 @@
 	return sum
 }
 
-// Model is the demand for a model over all hosts.
+// Model is a model and its demand summed over all hosts.
 type Model struct {
 	fleet.Model
 	Waiting int
-	// InTime is how many of the waiting requests can begin in time if the model is
-	// loaded now.
+	// InTime is how many of the waiting requests can start in time if the model is loaded
+	// now.
 	InTime int
-	// Due is when the lack of the model begins to cost: for the first of the
-	// requests that can be in time, or of all if there are none.
+	// Due is when the missing model starts to delay requests: that of the earliest request
+	// that can still be in time, or of the earliest of all if none can.
 	Due time.Time
-	// Rate is in requests a second, over a few seconds; Slow over more.
+	// Rate and Slow are moving averages in requests per second, over a short and a longer
+	// window.
 	Rate     float64
 	Slow     float64
 	Inflight int
-	// Starting is how many requests wait at endpoints for the first part of their
-	// answers, on the average of a few seconds.
+	// Starting is the moving average of the number of requests that wait at endpoints for
+	// their first token.
 	Starting float64
 }
 
-// offered is how many endpoints the prompts of a model would keep busy without a
-// pause. Requests that wait for the first part of their answers at a replica are
-// read one after the other, so that n of them on the average mean that it reads for
-// n/(1+n) of the time.
-func (m *Model) offered(replicas int) float64 {
+// prefillLoad returns how many endpoints the prompts of a model keep fully busy. A replica
+// processes prompts one at a time, so with an average of n requests waiting for their first
+// token it is busy for n/(1+n) of the time.
+func (m *Model) prefillLoad(replicas int) float64 {
 	n := float64(max(1, replicas))
 	each := m.Starting / n
 	return n * each / (1 + each)
 }
 
-// Limits are the bounds of a decision.
+// Limits are the limits of a decision.
 type Limits struct {
 	// Slots is the number of requests that an endpoint runs at once.
 	Slots int
 	// StoreLoads is how many loads from the weight store may start now.
 	StoreLoads int
-	// RatePerReplica is how many requests a second one replica is to serve.
+	// RatePerReplica is how many requests per second one replica should serve.
 	RatePerReplica float64
 }
 
-// Snapshot is all that a decision depends on.
+// Snapshot is the input of a decision.
 type Snapshot struct {
 	Now       time.Time
 	Endpoints []Endpoint
@@ -116,7 +115,7 @@
 	Limits    Limits
 }
 
-// Swap is a decision for one endpoint.
+// Swap is a decision for one endpoint: evict some models, then load one.
 type Swap struct {
 	Endpoint fleet.EndpointID
 	Evict    []string
@@ -125,52 +124,52 @@
 }
 
 const (
-	// hotRate is the rate above which a model gets replicas ahead of waiting
-	// requests. Below it, one replica serves a few requests in each stay.
+	// hotRate is the rate, in requests per second, from which a model is hot and gets
+	// replicas before requests wait.
 	hotRate = 2.5
-	// spareRate is the rate above which a model gets one replica more than its
-	// rate needs, so that a burst or the loss of an endpoint finds a place.
+	// spareRate is the rate, in requests per second, from which a model gets one replica
+	// more than its rate requires, for bursts and endpoint failures.
 	spareRate = 6
-	// overloaded is the overload above which a busy model goes before rare ones.
-	overloaded = 1.15
-	// spareDue is when the lack of a replica that only bursts need begins to cost.
-	spareDue = time.Second
-	// batchBonus is how much earlier a model is due for each further request that
-	// waits for it, up to four: one load serves them all.
+	// overloadThreshold is the overload from which a hot model goes before others.
+	overloadThreshold = 1.15
+	// spareDelay is when a shortfall without waiting requests becomes due.
+	spareDelay = time.Second
+	// batchBonus is how much earlier a model is due for each further waiting request, up to
+	// four, since one load serves them all.
 	batchBonus = 400 * time.Millisecond
-	// stuckAfter is for how long after its due time a model waits for a place at one
-	// of its homes, before it is loaded from the store elsewhere.
-	stuckAfter = 3 * time.Second
-	// minStay is how long a loaded model stays: the requests that waited for it
-	// are on their way.
-	minStay = 150 * time.Millisecond
-	// drainCost is the weight of running requests, which hold up an unload by up to
-	// three seconds; the endpoint takes no other order meanwhile.
+	// maxCopyWait is how long after its due time a model waits for an endpoint with a
+	// cached copy before it is loaded from the weight store elsewhere.
+	maxCopyWait = 3 * time.Second
+	// minResidentTime is how long a loaded model is kept, so that the requests that waited
+	// for it can arrive.
+	minResidentTime = 150 * time.Millisecond
+	// drainCost is the cost of running requests, which delay an unload and with it all
+	// other orders to the endpoint.
 	drainCost = 1500 * time.Millisecond
-	// evictCost is the weight, in seconds, of the requests a second that the
-	// evicted model would have served.
+	// evictCost is the cost, in seconds, of each request per second that an evicted model
+	// would have served.
 	evictCost = 1.0
-	// blockCost, for each copy at an endpoint, keeps loads from the store away from
-	// it: while such a load runs, for six seconds and more, none of the models at
-	// home there can be loaded. New endpoints have no copies.
+	// blockCost is the cost, in seconds, of each copy at an endpoint that loads from the
+	// weight store: none of them can be swapped in during the load.
 	blockCost = 0.2
-	// zoneCost spreads the replicas of a busy model over availability zones.
+	// zoneCost spreads the replicas of a hot model over availability zones. It is in
+	// seconds for each replica in the zone.
 	zoneCost = 0.15
-	// stackCost keeps busy models on different endpoints: two on one share its
-	// batch, and leave too little memory to load a rare model while another serves.
-	stackCost = 0.5
-	// busyShare is the part of an endpoint's slots that one model may fill
-	// before it gets another replica.
-	busyShare = 0.6
-	// extraUse is the part of its time that a replica reads prompts for, above which
-	// the model gets a further one: at half of the time, requests wait for others for
-	// as long as they are read themselves.
-	extraUse = 0.3
-	// extraLoss is the most that may leave for such a replica, in requests a second: with more,
-	// rare models lose their places.
-	extraLoss = 0.15
-	// adapterCost keeps swaps away from endpoints that hold adapters: these load
-	// only while no order runs there, and are lost with their model.
+	// colocationCost keeps hot models on different endpoints, in seconds for each hot
+	// model. Two on one endpoint share its batch and leave little memory for swaps.
+	colocationCost = 0.5
+	// maxSlotShare is the share of an endpoint's slots that one model may use before it
+	// gets another replica.
+	maxSlotShare = 0.6
+	// prefillUtilization is the share of its time that a replica spends on prompts above
+	// which the model gets an extra replica.
+	prefillUtilization = 0.3
+	// maxExtraLoss is the highest loss that an extra replica may cause, in requests per
+	// second.
+	maxExtraLoss = 0.15
+	// adapterCost is the cost, in seconds, of a swap for each resident with adapters.
+	// Adapters load only while the endpoint executes no other order and are lost with their
+	// model.
 	adapterCost = 0.15
 )
 
@@ -178,47 +177,47 @@
 	snap     Snapshot
 	models   map[string]*Model
 	replicas map[string]int
-	// wanted is the number of replicas that the demand for a model justifies.
-	wanted  map[string]int
-	loads   int
-	out     []Swap
-	touched map[fleet.EndpointID]bool
-	zones   map[string]map[string]int
-	// copies counts the endpoints that have a copy of a model.
+	// desired is the number of replicas that the demand for each model requires.
+	desired    map[string]int
+	storeLoads int
+	out        []Swap
+	scheduled  map[fleet.EndpointID]bool
+	zones      map[string]map[string]int
+	// copies counts the endpoints that have a cached copy of each model.
 	copies    map[string]int
 	endpoints []Endpoint
 }
 
-// Decide returns the swaps to start now, at most one an endpoint.
+// Decide returns the swaps to start now, at most one per endpoint.
 func Decide(snap Snapshot) []Swap {
 	d := newDecider(snap)
-	for _, n := range d.needs() {
-		d.meet(n)
+	for _, s := range d.shortfalls() {
+		d.resolve(s)
 	}
-	d.fill()
+	d.prefetch()
 	return d.out
 }
 
 func newDecider(snap Snapshot) *decider {
 	d := &decider{
-		snap:      snap,
-		models:    map[string]*Model{},
-		replicas:  map[string]int{},
-		wanted:    map[string]int{},
-		loads:     snap.Limits.StoreLoads,
-		touched:   map[fleet.EndpointID]bool{},
-		zones:     map[string]map[string]int{},
-		copies:    map[string]int{},
-		endpoints: snap.Endpoints,
+		snap:       snap,
+		models:     map[string]*Model{},
+		replicas:   map[string]int{},
+		desired:    map[string]int{},
+		storeLoads: snap.Limits.StoreLoads,
+		scheduled:  map[fleet.EndpointID]bool{},
+		zones:      map[string]map[string]int{},
+		copies:     map[string]int{},
+		endpoints:  snap.Endpoints,
 	}
 	for i := range snap.Models {
 		d.models[snap.Models[i].Name] = &snap.Models[i]
 	}
-	d.count()
+	d.countReplicas()
 	return d
 }
 
-func (d *decider) count() {
+func (d *decider) countReplicas() {
 	for _, e := range d.endpoints {
 		for _, r := range e.Residents {
 			if r.Leaving {
@@ -235,16 +234,16 @@
 		}
 	}
 	for name, m := range d.models {
-		d.wanted[name] = wanted(m, d.snap.Limits)
+		d.desired[name] = desiredReplicas(m, d.snap.Limits)
 	}
 }
 
-// wanted is the number of replicas that the demand for a model justifies.
-func wanted(m *Model, l Limits) int {
+// desiredReplicas returns the number of replicas that the demand for a model requires.
+func desiredReplicas(m *Model, l Limits) int {
 	n := 0
 	if m.Rate >= hotRate {
 		n = int(math.Ceil(m.Rate / l.RatePerReplica))
-		n = max(n, int(math.Ceil(float64(m.Inflight+m.Waiting)/(busyShare*float64(max(1, l.Slots))))))
+		n = max(n, int(math.Ceil(float64(m.Inflight+m.Waiting)/(maxSlotShare*float64(max(1, l.Slots))))))
 	}
 	if m.Rate >= spareRate {
 		n++
@@ -255,73 +254,74 @@
 	return n
 }
 
-// option is a way to meet a need at one endpoint.
-type option struct {
+// candidate is a swap that would load the missing model at one endpoint.
+type candidate struct {
 	swap Swap
 	cost float64
-	// loss is what the models that leave would have served, in requests a second.
+	// loss is the request rate that the evicted models would have served, plus the cost of
+	// draining them.
 	loss float64
 }
 
-func (d *decider) meet(n need) {
-	best := option{cost: math.Inf(1)}
-	home := false
+func (d *decider) resolve(s shortfall) {
+	best := candidate{cost: math.Inf(1)}
+	hasCopy := false
 	for i := range d.endpoints {
 		e := &d.endpoints[i]
-		tier := e.Copies[n.model.Name]
-		if e.Busy || d.touched[e.ID] {
-			home = home || tier > InStore
+		tier := e.Copies[s.model.Name]
+		if e.Busy || d.scheduled[e.ID] {
+			hasCopy = hasCopy || tier > InStore
 			continue
 		}
-		if d.holds(e, n.model.Name) {
+		if d.holds(e, s.model.Name) {
 			continue
 		}
-		home = home || tier > InStore
-		if o, ok := d.option(n, e, tier); ok && n.allows(o) && o.cost < best.cost {
-			best = o
+		hasCopy = hasCopy || tier > InStore
+		if c, ok := d.candidate(s, e, tier); ok && s.allows(c) && c.cost < best.cost {
+			best = c
 		}
 	}
 	if math.IsInf(best.cost, 1) {
 		return
 	}
 	if best.swap.From == InStore {
-		// A home that is busy now, or whose models have to stay for a moment, reloads
-		// sooner, and a load from the store, of six seconds and more, keeps an
-		// endpoint from some eight swaps. Busy homes that hold the model already count
-		// too, which keeps such loads of busy models rare: with them more requests for
-		// rare models were late than busy ones gained.
-		if d.loads <= 0 || home && !d.stuck(n) {
+		// An endpoint with a cached copy reloads the model sooner even if it is busy now,
+		// and a load from the weight store blocks an endpoint for the time of several
+		// swaps. Busy endpoints that already hold the model count too: otherwise store
+		// loads for hot models would delay rarely used ones.
+		if d.storeLoads <= 0 || hasCopy && !d.waitedTooLong(s) {
 			return
 		}
-		d.loads--
+		d.storeLoads--
 	}
-	d.touched[best.swap.Endpoint] = true
-	d.replicas[n.model.Name]++
+	d.scheduled[best.swap.Endpoint] = true
+	d.replicas[s.model.Name]++
 	for _, v := range best.swap.Evict {
 		d.replicas[v]--
 	}
 	d.out = append(d.out, best.swap)
 }
 
-// stuck tells that the homes of a model have had no place for it for long.
-func (d *decider) stuck(n need) bool {
-	return n.cold && d.snap.Now.Sub(n.model.Due) > stuckAfter
+// waitedTooLong reports whether a cold model is overdue although endpoints have a copy of
+// it.
+func (d *decider) waitedTooLong(s shortfall) bool {
+	return s.cold && d.snap.Now.Sub(s.model.Due) > maxCopyWait
 }
 
 func (d *decider) holds(e *Endpoint, model string) bool {
 	return slices.ContainsFunc(e.Residents, func(r Resident) bool { return r.Model == model })
 }
 
-// option returns the cheapest way to load a model at an endpoint. Its cost is
-// in seconds: the load, the drain of what leaves, and what the models that
-// leave would have served.
-func (d *decider) option(n need, e *Endpoint, tier Tier) (option, bool) {
-	missing := n.model.WeightsMB - (e.CapacityMB - e.usedMB(d.models))
-	victims, loss, ok := d.victims(n, e, missing)
+// candidate returns the cheapest way to load a model at an endpoint, and false if there is
+// none. The cost, in seconds, covers the load, draining the evicted models and the requests
+// that these would have served.
+func (d *decider) candidate(s shortfall, e *Endpoint, tier Tier) (candidate, bool) {
+	missing := s.model.WeightsMB - (e.CapacityMB - e.usedMB(d.models))
+	victims, loss, ok := d.victims(s, e, missing)
 	if !ok {
-		return option{}, false
+		return candidate{}, false
 	}
-	cost := LoadTime(n.model.Model, tier).Seconds() + loss*evictCost
+	cost := LoadTime(s.model.Model, tier).Seconds() + loss*evictCost
 	if tier == InStore {
 		cost += blockCost * float64(len(e.Copies))
 	}
@@ -330,15 +330,15 @@
 			cost += adapterCost
 		}
 	}
-	if n.model.Rate >= hotRate {
-		cost += zoneCost * float64(d.zones[n.model.Name][e.Zone])
-		cost += stackCost * float64(d.hotAt(e))
+	if s.model.Rate >= hotRate {
+		cost += zoneCost * float64(d.zones[s.model.Name][e.Zone])
+		cost += colocationCost * float64(d.hotModelsAt(e))
 	}
-	return option{swap: Swap{Endpoint: e.ID, Evict: victims, Load: n.model.Name, From: tier}, cost: cost, loss: loss}, true
+	return candidate{swap: Swap{Endpoint: e.ID, Evict: victims, Load: s.model.Name, From: tier}, cost: cost, loss: loss}, true
 }
 
-// hotAt counts the busy models at an endpoint.
-func (d *decider) hotAt(e *Endpoint) int {
+// hotModelsAt returns the number of hot models at an endpoint.
+func (d *decider) hotModelsAt(e *Endpoint) int {
 	n := 0
 	for _, r := range e.Residents {
 		if m := d.models[r.Model]; m != nil && !r.Leaving && m.Rate >= hotRate {
@@ -348,7 +348,7 @@
 	return n
 }
 
-// LoadTime is the time of a load while few loads run.
+// LoadTime returns the expected time of a load when few loads run.
 func LoadTime(m fleet.Model, t Tier) time.Duration {
 	switch t {
 	case InMemory:
--- a/pkg/residency/residency_test.go
+++ b/pkg/residency/residency_test.go
@@ -34,14 +34,14 @@
 	}
 }
 
-// running is a model whose requests are known only by what runs.
+// running returns a model without arrivals that has requests in flight.
 func running(name string, inflight int) residency.Model {
 	m := model(name, 0, 0, 0)
 	m.Inflight = inflight
 	return m
 }
 
-// late is a model whose waiting requests cannot be in time any more.
+// late returns the model with waiting requests that can no longer start in time.
 func late(m residency.Model) residency.Model {
 	m.InTime = 0
 	return m
@@ -63,12 +63,12 @@
 }
 
 func TestDecide(t *testing.T) {
-	type want map[string]string // endpoint to model
+	type want map[string]string // model by endpoint
 	busy := endpoint("home", "a", []string{"x", "y"}, "cold")
 	busy.Busy = true
-	fresh := endpoint("home", "a", []string{"x", "y"}, "cold")
-	for i := range fresh.Residents {
-		fresh.Residents[i].Since = now
+	justLoaded := endpoint("home", "a", []string{"x", "y"}, "cold")
+	for i := range justLoaded.Residents {
+		justLoaded.Residents[i].Since = now
 	}
 	for _, c := range []struct {
 		name      string
@@ -77,26 +77,26 @@
 		want      want
 	}{
 		{
-			"a cold model goes to its home, not to an empty endpoint without a copy",
+			"a cold model is loaded from its cached copy, not on an empty endpoint",
 			[]residency.Endpoint{endpoint("empty", "a", nil), endpoint("home", "a", []string{"x", "y"}, "cold")},
 			[]residency.Model{model("cold", 1, 0, 0)},
 			want{"home": "cold"},
 		},
 		{
-			"a busy home is waited for: it is free long before a load from the store ends",
+			"a busy endpoint with a copy is waited for",
 			[]residency.Endpoint{endpoint("empty", "a", nil), busy},
 			[]residency.Model{model("cold", 1, 0, 0)},
 			want{},
 		},
 		{
-			"so is a home whose models have just been loaded",
-			[]residency.Endpoint{endpoint("empty", "a", nil), fresh},
+			"an endpoint with a copy whose models were just loaded is waited for",
+			[]residency.Endpoint{endpoint("empty", "a", nil), justLoaded},
 			[]residency.Model{model("cold", 1, 0, 0), model("x", 0, 0, 0), model("y", 0, 0, 0)},
 			want{},
 		},
 		{
-			"but not for ever",
-			[]residency.Endpoint{endpoint("empty", "a", nil), fresh},
+			"an overdue model is loaded from the store",
+			[]residency.Endpoint{endpoint("empty", "a", nil), justLoaded},
 			[]residency.Model{model("cold", 1, -4*time.Second, 0), model("x", 0, 0, 0.1), model("y", 0, 0, 0.1)},
 			want{"empty": "cold"},
 		},
@@ -107,55 +107,55 @@
 			want{"empty": "cold"},
 		},
 		{
-			"what has just been loaded stays for the requests that waited for it",
-			[]residency.Endpoint{fresh},
+			"a model that was just loaded is not evicted",
+			[]residency.Endpoint{justLoaded},
 			[]residency.Model{model("cold", 1, 0, 0), model("x", 0, 0, 0.1), model("y", 0, 0, 0.1)},
 			want{},
 		},
 		{
-			"the replicas that a busy model needs are not given up for a rare one",
+			"replicas that a hot model requires are not evicted",
 			[]residency.Endpoint{endpoint("home", "a", []string{"hot", "hot2"}, "cold")},
 			[]residency.Model{model("cold", 1, 0, 0), model("hot", 0, 0, 20), model("hot2", 0, 0, 20)},
 			want{},
 		},
 		{
-			"an overloaded model goes before a rare one that is due",
+			"an overloaded model goes before a rarely used one that is due",
 			[]residency.Endpoint{endpoint("home", "a", []string{"x", "y"}, "cold", "hot"), endpoint("other", "a", []string{"hot", "z"})},
 			[]residency.Model{model("cold", 1, -time.Second, 0.2), model("hot", 0, 0, 40), model("x", 0, 0, 0.1), model("y", 0, 0, 0.1), model("z", 0, 0, 0.1)},
 			want{"home": "hot"},
 		},
 		{
-			"a busy model without any replica goes before a rare one that can be in time",
+			"a hot model without replicas goes before a rarely used one",
 			[]residency.Endpoint{endpoint("home", "a", []string{"x", "y"}, "cold", "busy")},
 			[]residency.Model{model("cold", 2, time.Second, 0.5), late(model("busy", 3, 2*time.Second, 8)), model("x", 0, 0, 0.1), model("y", 0, 0, 0.1)},
 			want{"home": "busy"},
 		},
 		{
-			"a replica that serves requests is not taken where an idle model lies, though another replica exists",
+			"an idle model is evicted rather than a replica with requests in flight",
 			[]residency.Endpoint{endpoint("home", "a", []string{"hot", "x"}, "cold"), endpoint("other", "a", []string{"hot", "z"})},
 			[]residency.Model{model("cold", 1, 0, 0), running("hot", 8), model("x", 0, 0, 0.2)},
 			want{"home": "cold"},
 		},
 		{
-			"a load from the store goes where no other model is at home",
+			"a store load goes to the endpoint with the fewest copies",
 			[]residency.Endpoint{endpoint("home", "a", []string{"x"}, "v", "w", "x", "y", "z"), endpoint("new", "a", []string{"z"})},
 			[]residency.Model{model("cold", 1, 0, 0), model("x", 0, 0, 0.1), model("z", 0, 0, 0.1)},
 			want{"new": "cold"},
 		},
 		{
-			"of two rare models the one that is due first is loaded",
+			"the model that is due first is loaded",
 			[]residency.Endpoint{endpoint("home", "a", []string{"x", "y"}, "early", "late")},
 			[]residency.Model{model("late", 1, 2*time.Second, 0), model("early", 1, time.Second, 0)},
 			want{"home": "early"},
 		},
 		{
-			"unless more requests wait for another that is due soon after",
+			"a model with more waiting requests goes before one due slightly earlier",
 			[]residency.Endpoint{endpoint("home", "a", []string{"x", "y"}, "one", "three")},
 			[]residency.Model{model("one", 1, time.Second, 0), model("three", 3, 1500*time.Millisecond, 0)},
 			want{"home": "three"},
 		},
 		{
-			"one whose requests are late already goes behind one that can be in time",
+			"a model with late requests goes after one whose requests can be in time",
 			[]residency.Endpoint{endpoint("home", "a", []string{"x", "y"}, "old", "fresh")},
 			[]residency.Model{late(model("old", 1, 0, 0)), model("fresh", 1, 2*time.Second, 0)},
 			want{"home": "fresh"},
@@ -175,11 +175,10 @@
 	}
 }
 
-// Endpoints are replaced by empty ones, one by one. Models were loaded there only
-// when their last home had left and requests waited; an empty endpoint takes the
-// models that are asked for most for each copy, as far as its memory goes, and a
-// home with something to swap in takes none.
-func TestEmptyEndpointsAreFilled(t *testing.T) {
+// Guards against empty endpoints staying unused until requests wait: they load the models
+// with the highest rate per copy, as far as memory and store loads allow. Endpoints with
+// copies to swap in load none.
+func TestEmptyEndpointsPrefetchModels(t *testing.T) {
 	is := is.New(t)
 	empty := endpoint("new", "a", nil)
 	snap := residency.Snapshot{
@@ -193,12 +192,12 @@
 	is.Equal(len(residency.Decide(snap)), 0)
 	snap.Limits.StoreLoads = 4
 	snap.Endpoints[1].Residents = []residency.Resident{ready("x"), ready("y")}
-	is.Equal(len(residency.Decide(snap)), 0) // its memory is taken
+	is.Equal(len(residency.Decide(snap)), 0) // its memory is full
 }
 
-// Two busy models share one endpoint: both are slow there, and only one place
-// is left for rare models, which then cannot load while another serves.
-func TestBusyModelsGoToDifferentEndpoints(t *testing.T) {
+// Guards against placing two hot models on one endpoint, where they share its batch and
+// leave no memory for swaps.
+func TestHotModelsGoToDifferentEndpoints(t *testing.T) {
 	is := is.New(t)
 	swaps := residency.Decide(residency.Snapshot{
 		Now: now,
@@ -213,9 +212,9 @@
 	is.Equal(swaps[0].Endpoint, fleet.EndpointID("b"))
 }
 
-// All endpoints were replaced by empty ones. Requests were held for half of their
-// time for models that six loads from the store went before, and refused then.
-func TestFarModelsAreTold(t *testing.T) {
+// Guards against queueing requests for models that the weight store cannot load in time:
+// ReadyIn must include the loads that go first.
+func TestFarEstimatesLoadTimes(t *testing.T) {
 	is := is.New(t)
 	snap := residency.Snapshot{
 		Now:       now,
@@ -232,10 +231,9 @@
 	})
 }
 
-// An endpoint that is ordered to hold more than its memory crashes with all its
-// requests. Whatever the demand, no decision asks for it, no endpoint gets two
-// swaps at once, and what leaves is ready and not the only replica that waits.
-func TestDecisionsFitTheMemory(t *testing.T) {
+// Guards against decisions that exceed an endpoint's memory, swap twice at one endpoint,
+// evict a model that is not ready, or exceed the limit of store loads.
+func TestDecisionsStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snap := drawSnapshot(t)
 		byID := map[fleet.EndpointID]residency.Endpoint{}
@@ -251,7 +249,7 @@
 		for _, s := range residency.Decide(snap) {
 			e := byID[s.Endpoint]
 			if e.Busy || seen[s.Endpoint] {
-				t.Fatalf("%s gets a second order", s.Endpoint)
+				t.Fatalf("swap of %s at %s, which is busy or has another swap", s.Load, s.Endpoint)
 			}
 			seen[s.Endpoint] = true
 			if s.From == residency.InStore {
@@ -260,25 +258,25 @@
 			used := models[s.Load].WeightsMB
 			for _, r := range e.Residents {
 				if r.Model == s.Load {
-					t.Fatalf("%s holds %s already", e.ID, s.Load)
+					t.Fatalf("endpoint %s already holds %s", e.ID, s.Load)
 				}
 				evicted := false
 				for _, v := range s.Evict {
 					evicted = evicted || v == r.Model
 				}
 				if evicted && (!r.Ready || r.Leaving) {
-					t.Fatalf("%s is not ready and leaves", r.Model)
+					t.Fatalf("evicted %s, which is not ready or already unloading", r.Model)
 				}
 				if !evicted {
 					used += r.MB + float64(r.Adapters)*models[r.Model].AdapterMB
 				}
 			}
 			if used > e.CapacityMB {
-				t.Fatalf("%s: %.0f MB in %.0f", e.ID, used, e.CapacityMB)
+				t.Fatalf("endpoint %s would hold %.0f MB of %.0f MB", e.ID, used, e.CapacityMB)
 			}
 		}
 		if store > snap.Limits.StoreLoads {
-			t.Fatalf("%d loads from the store, %d are allowed", store, snap.Limits.StoreLoads)
+			t.Fatalf("%d store loads started, limit is %d", store, snap.Limits.StoreLoads)
 		}
 	})
 }
@@ -315,18 +313,16 @@
 	return snap
 }
 
-// Drafts of 9,000 tokens take an endpoint a quarter of a second each. Four a second are
-// few requests, but a second replica halves the time that they queue: users got
-// their first words after 0.8 s where 0.25 s would do. It must not cost rare models
-// their places, nor the weight store.
-func TestSlowPromptsGetAnotherReplica(t *testing.T) {
-	slow := func(starting float64) residency.Model {
+// Guards against prompts queueing at one replica of a hot model. An extra replica must
+// neither evict a model that is in use nor load from the weight store.
+func TestQueuedPromptsGetExtraReplica(t *testing.T) {
+	slowModel := func(starting float64) residency.Model {
 		m := model("slow", 0, 0, 4)
 		m.Starting = starting
 		return m
 	}
 	idle := model("idle", 0, 0, 0.01)
-	used := model("used", 0, 0, 1)
+	inUse := model("used", 0, 0, 1)
 	for _, c := range []struct {
 		name     string
 		starting float64
@@ -334,10 +330,10 @@
 		onDisk   []string
 		want     int
 	}{
-		{"prompts that queue get one", 0.9, idle, []string{"slow"}, 1},
-		{"those that do not, none", 0.2, idle, []string{"slow"}, 0},
-		{"not at the cost of a model that is asked for", 0.9, used, []string{"slow"}, 0},
-		{"not from the weight store", 0.9, idle, nil, 0},
+		{"an extra replica when prompts queue", 0.9, idle, []string{"slow"}, 1},
+		{"none when prompts do not queue", 0.2, idle, []string{"slow"}, 0},
+		{"none at the cost of a model in use", 0.9, inUse, []string{"slow"}, 0},
+		{"none from the weight store", 0.9, idle, nil, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -347,7 +343,7 @@
 					endpoint("e1", "a", []string{"slow"}),
 					endpoint("e2", "b", []string{c.other.Name, "busy"}, c.onDisk...),
 				},
-				Models: []residency.Model{slow(c.starting), c.other, model("busy", 0, 0, 5)},
+				Models: []residency.Model{slowModel(c.starting), c.other, model("busy", 0, 0, 5)},
 				Limits: limits,
 			})
 			replicas := 0
--- a/pkg/residency/victims.go
+++ b/pkg/residency/victims.go
@@ -12,14 +12,15 @@
 	loss  float64
 }
 
-// victims returns what has to leave to free missing MB, the least wanted first.
-func (d *decider) victims(n need, e *Endpoint, missing float64) ([]string, float64, bool) {
+// victims returns the models to evict to free missing MB, cheapest first, and their total
+// loss. It returns false if evicting all candidates does not free enough.
+func (d *decider) victims(s shortfall, e *Endpoint, missing float64) ([]string, float64, bool) {
 	if missing <= 0 {
 		return nil, 0, true
 	}
 	var list []victim
 	for _, r := range e.Residents {
-		if v, ok := d.victim(n, r); ok {
+		if v, ok := d.victim(s, r); ok {
 			list = append(list, v)
 		}
 	}
@@ -38,9 +39,9 @@
 	return nil, 0, false
 }
 
-// victim tells what it would cost to unload a resident, or that it must stay.
-func (d *decider) victim(n need, r Resident) (victim, bool) {
-	if !r.Ready || r.Leaving || d.snap.Now.Sub(r.Since) < minStay {
+// victim returns the cost of evicting a resident, or false if it must not be evicted.
+func (d *decider) victim(s shortfall, r Resident) (victim, bool) {
+	if !r.Ready || r.Leaving || d.snap.Now.Sub(r.Since) < minResidentTime {
 		return victim{}, false
 	}
 	m := d.models[r.Model]
@@ -52,8 +53,8 @@
 	if m.Waiting > 0 && replicas <= 1 {
 		return victim{}, false
 	}
-	// A replica that a busy model needs is not given up for a rare one.
-	if replicas <= d.wanted[r.Model] && d.wanted[r.Model] > 0 && m.Rate >= hotRate {
+	// A replica that a hot model requires is not evicted.
+	if replicas <= d.desired[r.Model] && d.desired[r.Model] > 0 && m.Rate >= hotRate {
 		return victim{}, false
 	}
 	loss := m.Slow / float64(max(1, replicas))
