--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -1,5 +1,6 @@
-// Package placement decides which replicas to load and to retire in one pool.
-// It is a pure function of a snapshot; the fold checks its decisions again.
+// Package placement decides which replicas to load and to retire in one pool. Decide is a
+// pure function of a snapshot. The replicated state validates its decisions when they are
+// applied.
 package placement
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// Model is the demand for one customer's model and its limits.
+// Model is a customer's model with its limits and demand.
 type Model struct {
 	Customer string
 	Name     string
@@ -19,21 +20,21 @@
 	MemoryMB    int64
 	Min, Max    int
 	Concurrency int
-	// Waiting and Inflight are counts over all hosts.
+	// Waiting and Inflight are summed over all hosts.
 	Waiting  int
 	Inflight int
 	// Deadline is the earliest deadline of a waiting request.
 	Deadline time.Time
-	// LastUsed is when the last request ended; zero when none was seen.
+	// LastUsed is when the last request ended, or zero if none was seen.
 	LastUsed time.Time
 	// KeepAlive is how long an idle replica stays loaded.
 	KeepAlive time.Duration
-	// Ahead is set while the next request is expected soon: one replica is
-	// loaded and kept for it.
+	// Ahead is set while the next request is expected soon. One replica is then loaded and
+	// kept in advance.
 	Ahead bool
 }
 
-// Phase is the stage of a replica as far as placement cares.
+// Phase is the lifecycle phase of a replica.
 type Phase int
 
 // The phases of a replica.
@@ -43,7 +44,7 @@
 	Retiring
 )
 
-// Replica is a replica whose memory is reserved.
+// Replica is a replica that has memory reserved.
 type Replica struct {
 	ID       record.ReplicaID
 	Customer string
@@ -51,7 +52,7 @@
 	Endpoint string
 	MemoryMB int64
 	Phase    Phase
-	// Busy replicas serve requests at this moment.
+	// Busy is set while the replica serves requests.
 	Busy bool
 }
 
@@ -65,22 +66,22 @@
 	Memory
 )
 
-// Endpoint is an endpoint that may take replicas.
+// Endpoint is an endpoint that can take replicas.
 type Endpoint struct {
 	Name   string
 	Zone   string
 	FreeMB int64
-	// Cached holds the models whose checkpoints are nearer than the store.
+	// Cached maps the models whose checkpoints the endpoint holds locally to their tier.
 	Cached map[string]Tier
 }
 
-// Snapshot is all that a decision depends on.
+// Snapshot is the input of a decision.
 type Snapshot struct {
 	Now       time.Time
 	Models    []Model
 	Replicas  []Replica
 	Endpoints []Endpoint
-	// LoadSlots is the number of loads that may be started now.
+	// LoadSlots is the number of loads that may start now.
 	LoadSlots int
 }
 
@@ -103,54 +104,55 @@
 	snap      Snapshot
 	models    map[modelKey]*Model
 	endpoints []Endpoint
-	slots     int
+	loadSlots int
 	out       Actions
 	retired   map[record.ReplicaID]bool
-	// live counts the replicas of each model that serve or will serve, counted
-	// all that hold memory; the contract bounds the latter.
-	live    map[modelKey]int
-	counted map[modelKey]int
-	// adapters counts adapter replicas by the base that carries them.
+	// active counts the replicas of each model that are loading or ready. reserved counts
+	// all that hold memory, retiring ones included: this is the number that the contract
+	// limits.
+	active   map[modelKey]int
+	reserved map[modelKey]int
+	// adapters counts the adapter replicas on each base model and endpoint.
 	adapters map[baseKey]int
 }
 
-// baseKey names the replicas of a base model on one endpoint.
+// baseKey identifies a base model on one endpoint.
 type baseKey struct{ customer, base, endpoint string }
 
-// Decide returns what to load and to retire. Models whose requests have the
-// earliest deadline come first for the load slots and the memory.
+// Decide returns what to load and to retire. Models with the earliest request deadlines get
+// load slots and memory first.
 func Decide(snap Snapshot) Actions {
 	d := &decider{
 		snap:      snap,
 		models:    map[modelKey]*Model{},
 		endpoints: slices.Clone(snap.Endpoints),
-		slots:     snap.LoadSlots,
+		loadSlots: snap.LoadSlots,
 		retired:   map[record.ReplicaID]bool{},
-		live:      map[modelKey]int{},
-		counted:   map[modelKey]int{},
+		active:    map[modelKey]int{},
+		reserved:  map[modelKey]int{},
 		adapters:  map[baseKey]int{},
 	}
 	models := slices.Clone(snap.Models)
 	for i := range models {
 		d.models[modelKey{models[i].Customer, models[i].Name}] = &models[i]
 	}
-	d.count()
-	d.passDemandToBases(models)
+	d.countReplicas()
+	d.addAdapterDemand(models)
 	d.retireExcess()
 	d.retireIdle()
 	slices.SortStableFunc(models, byUrgency)
 	for i := range models {
-		d.wake(&models[i])
+		d.scaleUp(&models[i])
 	}
 	return d.out
 }
 
-func (d *decider) count() {
+func (d *decider) countReplicas() {
 	for _, r := range d.snap.Replicas {
 		key := modelKey{r.Customer, r.Model}
-		d.counted[key]++
+		d.reserved[key]++
 		if r.Phase != Retiring {
-			d.live[key]++
+			d.active[key]++
 		}
 		if m := d.models[key]; m != nil && m.BaseModel != "" {
 			d.adapters[baseKey{r.Customer, m.BaseModel, r.Endpoint}]++
@@ -158,7 +160,7 @@
 	}
 }
 
-// byUrgency orders models with waiting requests by deadline before the others.
+// byUrgency sorts models with waiting requests first, by deadline.
 func byUrgency(a, b Model) int {
 	if (a.Waiting > 0) != (b.Waiting > 0) {
 		if a.Waiting > 0 {
@@ -169,9 +171,10 @@
 	return a.Deadline.Compare(b.Deadline)
 }
 
-// passDemandToBases makes a base count as used while one of its adapters is,
-// and wakes it for an adapter that waits.
-func (d *decider) passDemandToBases(models []Model) {
+// addAdapterDemand adds the demand of adapters to their base models, so that a base stays
+// loaded while its adapters are in use and is loaded for an adapter that has waiting
+// requests.
+func (d *decider) addAdapterDemand(models []Model) {
 	for i := range models {
 		adapter := &models[i]
 		if adapter.BaseModel == "" {
@@ -195,17 +198,17 @@
 	}
 }
 
-// retireExcess drains what a lowered or withdrawn contract no longer allows.
-// Loading replicas go first, then idle ones.
+// retireExcess retires replicas beyond the contract's maximum, loading ones first, then
+// idle ones.
 func (d *decider) retireExcess() {
-	live := map[modelKey][]Replica{}
+	active := map[modelKey][]Replica{}
 	for _, r := range d.snap.Replicas {
 		if r.Phase != Retiring {
 			key := modelKey{r.Customer, r.Model}
-			live[key] = append(live[key], r)
+			active[key] = append(active[key], r)
 		}
 	}
-	for key, replicas := range live {
+	for key, replicas := range active {
 		limit := 0
 		if m := d.models[key]; m != nil {
 			limit = m.Max
@@ -233,13 +236,13 @@
 	}
 	d.retired[r.ID] = true
 	if r.Phase != Retiring {
-		d.live[modelKey{r.Customer, r.Model}]--
+		d.active[modelKey{r.Customer, r.Model}]--
 	}
 	d.out.Retires = append(d.out.Retires, r.ID)
 }
 
-// retireIdle retires replicas beyond the minimum whose model was idle for
-// longer than its keep-alive.
+// retireIdle retires replicas beyond the minimum whose model has been idle for longer than
+// its keep-alive.
 func (d *decider) retireIdle() {
 	for _, r := range d.snap.Replicas {
 		m := d.models[modelKey{r.Customer, r.Model}]
@@ -252,7 +255,8 @@
 	}
 }
 
-// evictable replicas are loaded, serve nothing, are not wanted and carry no adapter.
+// evictable reports whether a replica is ready and idle, its model has no requests, it is not
+// needed for the minimum and carries no adapter.
 func (d *decider) evictable(r Replica, m *Model) bool {
 	if r.Phase != Ready || r.Busy || d.retired[r.ID] {
 		return false
@@ -260,15 +264,16 @@
 	if m.Waiting > 0 || m.Inflight > 0 {
 		return false
 	}
-	return d.live[modelKey{r.Customer, r.Model}] > m.Min && !d.carriesAdapter(r)
+	return d.active[modelKey{r.Customer, r.Model}] > m.Min && !d.carriesAdapter(r)
 }
 
 func (d *decider) carriesAdapter(base Replica) bool {
 	return d.adapters[baseKey{base.Customer, base.Model, base.Endpoint}] > 0
 }
 
-// wanted is the number of replicas that the demand justifies.
-func wanted(m *Model) int {
+// desiredReplicas returns the number of replicas that the demand requires, within the
+// contract's limits.
+func desiredReplicas(m *Model) int {
 	load := m.Waiting + m.Inflight
 	if m.Waiting == 0 && m.Ahead {
 		return max(m.Min, min(1, m.Max))
@@ -276,13 +281,13 @@
 	if m.Waiting == 0 {
 		return m.Min
 	}
-	need := (load + m.Concurrency - 1) / max(1, m.Concurrency)
-	return min(max(need, m.Min), m.Max)
+	required := (load + m.Concurrency - 1) / max(1, m.Concurrency)
+	return min(max(required, m.Min), m.Max)
 }
 
-func (d *decider) wake(m *Model) {
+func (d *decider) scaleUp(m *Model) {
 	key := modelKey{m.Customer, m.Name}
-	for d.live[key] < wanted(m) && d.counted[key] < m.Max && d.slots > 0 {
+	for d.active[key] < desiredReplicas(m) && d.reserved[key] < m.Max && d.loadSlots > 0 {
 		if !d.placeOne(m) {
 			return
 		}
@@ -290,23 +295,23 @@
 }
 
 func (d *decider) placeOne(m *Model) bool {
-	i := d.choose(m)
+	i := d.pickEndpoint(m)
 	if i < 0 {
 		d.evictFor(m)
 		return false
 	}
 	d.endpoints[i].FreeMB -= m.MemoryMB
-	d.slots--
-	d.live[modelKey{m.Customer, m.Name}]++
-	d.counted[modelKey{m.Customer, m.Name}]++
+	d.loadSlots--
+	d.active[modelKey{m.Customer, m.Name}]++
+	d.reserved[modelKey{m.Customer, m.Name}]++
 	d.out.Places = append(d.out.Places, Place{Customer: m.Customer, Model: m.Name, Endpoint: d.endpoints[i].Name})
 	return true
 }
 
-// choose returns the index of the best endpoint with room, or -1: nearest
-// checkpoint first, then the zone with fewest replicas of the model, then the
-// tightest fit, which keeps large gaps for large models.
-func (d *decider) choose(m *Model) int {
+// pickEndpoint returns the index of the best endpoint with enough free memory, or -1. It
+// prefers the fastest checkpoint tier, then the zone with the fewest replicas of the model,
+// then the tightest fit, which leaves large free blocks for large models.
+func (d *decider) pickEndpoint(m *Model) int {
 	best := -1
 	for i, e := range d.endpoints {
 		if e.FreeMB < m.MemoryMB || !d.hasBase(m, e.Name) {
@@ -322,14 +327,14 @@
 func (d *decider) better(m *Model, a, b Endpoint) bool {
 	order := cmp.Or(
 		-cmp.Compare(a.Cached[m.Name], b.Cached[m.Name]),
-		cmp.Compare(d.inZone(m, a.Zone), d.inZone(m, b.Zone)),
+		cmp.Compare(d.replicasInZone(m, a.Zone), d.replicasInZone(m, b.Zone)),
 		cmp.Compare(a.FreeMB, b.FreeMB),
 		cmp.Compare(a.Name, b.Name),
 	)
 	return order < 0
 }
 
-func (d *decider) inZone(m *Model, zone string) int {
+func (d *decider) replicasInZone(m *Model, zone string) int {
 	n := 0
 	for _, r := range d.snap.Replicas {
 		if r.Customer == m.Customer && r.Model == m.Name && r.Phase != Retiring && d.zone(r.Endpoint) == zone {
@@ -353,7 +358,8 @@
 	return ""
 }
 
-// hasBase tells whether an adapter finds its base loaded on the endpoint.
+// hasBase reports whether the endpoint can take the model: the base of an adapter must be
+// ready there.
 func (d *decider) hasBase(m *Model, endpoint string) bool {
 	if m.BaseModel == "" {
 		return true
@@ -363,8 +369,8 @@
 	})
 }
 
-// evictFor retires idle replicas on the endpoint where fewest are needed to
-// make room. It retires nothing while memory that is being given back suffices.
+// evictFor retires idle replicas on the endpoint where the fewest must go to fit the model.
+// It retires none if memory that is already being released is enough.
 func (d *decider) evictFor(m *Model) {
 	if m.Waiting == 0 {
 		return
@@ -374,11 +380,11 @@
 		if !d.hasBase(m, e.Name) {
 			continue
 		}
-		missing := m.MemoryMB - e.FreeMB - d.givingBack(e.Name)
-		if missing <= 0 {
+		missingMB := m.MemoryMB - e.FreeMB - d.releasingMB(e.Name)
+		if missingMB <= 0 {
 			return
 		}
-		victims := d.victims(e.Name, missing)
+		victims := d.victims(e.Name, missingMB)
 		if victims != nil && (best == nil || len(victims) < len(best)) {
 			best = victims
 		}
@@ -388,7 +394,7 @@
 	}
 }
 
-func (d *decider) givingBack(endpoint string) int64 {
+func (d *decider) releasingMB(endpoint string) int64 {
 	var sum int64
 	for _, r := range d.snap.Replicas {
 		if r.Endpoint == endpoint && (r.Phase == Retiring || d.retired[r.ID]) {
@@ -398,8 +404,9 @@
 	return sum
 }
 
-// victims returns the longest idle replicas that free at least need, or nil.
-func (d *decider) victims(endpoint string, need int64) []Replica {
+// victims returns the least recently used evictable replicas that free at least needMB, or
+// nil.
+func (d *decider) victims(endpoint string, needMB int64) []Replica {
 	var idle []Replica
 	for _, r := range d.snap.Replicas {
 		m := d.models[modelKey{r.Customer, r.Model}]
@@ -411,8 +418,8 @@
 		return d.lastUsed(a).Compare(d.lastUsed(b))
 	})
 	for i, r := range idle {
-		need -= r.MemoryMB
-		if need <= 0 {
+		needMB -= r.MemoryMB
+		if needMB <= 0 {
 			return idle[:i+1]
 		}
 	}
