--- a/pkg/orders/adapters.go
+++ b/pkg/orders/adapters.go
@@ -10,55 +10,55 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// adapters starts the loads of adapters for which requests wait.
-func (g *Controller) adapters(ctx context.Context, now time.Time, token int64, service fleet.Service, tracks []*track, totals map[need]*total) {
-	type want struct {
-		need
-		*total
-	}
-	var wants []want
-	for key, x := range totals {
+// loadAdapters starts loads of adapters that have waiting requests.
+func (c *Controller) loadAdapters(ctx context.Context, now time.Time, token int64, service fleet.Service, trackers []*endpointTracker, totals map[demandKey]*modelDemand) {
+	type request struct {
+		demandKey
+		*modelDemand
+	}
+	var requests []request
+	for key, d := range totals {
 		if key.service == service.Name && key.adapter != "" {
-			wants = append(wants, want{key, x})
+			requests = append(requests, request{key, d})
 		}
 	}
-	slices.SortFunc(wants, func(a, b want) int {
+	slices.SortFunc(requests, func(a, b request) int {
 		return cmp.Or(a.due.Compare(b.due), cmp.Compare(a.model, b.model), cmp.Compare(a.adapter, b.adapter))
 	})
-	for _, t := range tracks {
-		t.touch(now, totals, service.Name)
+	for _, t := range trackers {
+		t.updateAdapterUse(now, totals, service.Name)
 	}
-	for _, w := range wants {
-		if w.waiting > 0 {
-			g.placeAdapter(ctx, now, token, service.Engine, tracks, w.model, w.adapter)
+	for _, r := range requests {
+		if r.waiting > 0 {
+			c.placeAdapter(ctx, now, token, service.Engine, trackers, r.model, r.adapter)
 		}
 	}
 }
 
-// touch notes which adapters are in use.
-func (t *track) touch(now time.Time, totals map[need]*total, service string) {
+// updateAdapterUse records when each adapter was last used.
+func (t *endpointTracker) updateAdapterUse(now time.Time, totals map[demandKey]*modelDemand, service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, r := range t.models {
-		for a, x := range r.adapters {
-			if u := totals[need{service, name, a}]; u != nil && u.lastUsed.After(x.used) {
-				x.used = u.lastUsed
+		for id, a := range r.adapters {
+			if u := totals[demandKey{service, name, id}]; u != nil && u.lastUsed.After(a.usedAt) {
+				a.usedAt = u.lastUsed
 			}
 		}
 	}
 }
 
-// adapterKeep is how long an adapter without requests stays before it may yield.
-const adapterKeep = 300 * time.Millisecond
+// adapterMinIdle is how long an adapter stays without requests before it may be evicted.
+const adapterMinIdle = 300 * time.Millisecond
 
-// placeAdapter loads an adapter beside its model, where fewest are held, unless
-// an endpoint holds it or is loading it.
-func (g *Controller) placeAdapter(ctx context.Context, now time.Time, token int64, engine *fleet.Engine, tracks []*track, model, name string) {
-	var best *track
+// placeAdapter loads an adapter at the endpoint with its model that holds the fewest
+// adapters. It does nothing if an endpoint already holds or loads the adapter.
+func (c *Controller) placeAdapter(ctx context.Context, now time.Time, token int64, engine *fleet.Engine, trackers []*endpointTracker, model, name string) {
+	var best *endpointTracker
 	bestHeld := 0
-	for _, t := range tracks {
-		held, state := t.adapterRoom(now, engine, model, name)
-		if state == adapterThere {
+	for _, t := range trackers {
+		held, state := t.adapterFit(now, engine, model, name)
+		if state == adapterPresent {
 			return
 		}
 		if state == adapterFits && (best == nil || held < bestHeld) {
@@ -69,45 +69,45 @@
 		return
 	}
 	victim := best.reserveAdapter(now, engine, model, name)
-	g.work.Go(func() { g.loadAdapter(ctx, best, token, model, name, victim) })
+	c.tasks.Go(func() { c.loadAdapter(ctx, best, token, model, name, victim) })
 }
 
-type adapterState int
+type fitResult int
 
 const (
-	adapterNoRoom adapterState = iota
+	adapterNoRoom fitResult = iota
 	adapterFits
-	adapterThere
+	adapterPresent
 )
 
-// adapterRoom tells whether an endpoint holds an adapter or could.
-func (t *track) adapterRoom(now time.Time, engine *fleet.Engine, model, name string) (int, adapterState) {
+// adapterFit returns the number of adapters at an endpoint and whether it holds the adapter
+// or has room for it.
+func (t *endpointTracker) adapterFit(now time.Time, engine *fleet.Engine, model, name string) (int, fitResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.models[model]
 	if r == nil {
 		return 0, adapterNoRoom
 	}
-	if a := r.adapters[name]; a != nil && !a.leaving {
-		return 0, adapterThere
+	if a := r.adapters[name]; a != nil && !a.unloading {
+		return 0, adapterPresent
 	}
-	// An endpoint that carries out another order would refuse this one until that
-	// has ended.
-	if r.leaving || r.unsure || now.Before(r.readyAt) || !t.known || t.working || now.Before(t.busyUntil) {
+	// An endpoint that executes an order rejects all others until it has finished.
+	if r.unloading || r.unconfirmed || now.Before(r.readyAt) || !t.synced || t.busy || now.Before(t.busyUntil) {
 		return 0, adapterNoRoom
 	}
 	held, sum := t.adapterUse(engine)
 	if held < engine.AdapterSlots && sum+engine.Models[model].AdapterMB <= engine.WeightsMB {
 		return held, adapterFits
 	}
-	if _, _, ok := t.idleAdapter(now); ok && held <= engine.AdapterSlots {
+	if _, _, ok := t.lruAdapter(now); ok && held <= engine.AdapterSlots {
 		return held, adapterFits
 	}
 	return held, adapterNoRoom
 }
 
-// adapterUse returns the number of adapters and the memory in use.
-func (t *track) adapterUse(engine *fleet.Engine) (int, float64) {
+// adapterUse returns the number of adapters and the memory in use in MB.
+func (t *endpointTracker) adapterUse(engine *fleet.Engine) (int, float64) {
 	held, sum := 0, 0.0
 	for name, r := range t.models {
 		m := engine.Models[name]
@@ -117,56 +117,57 @@
 	return held, sum
 }
 
-// idleAdapter returns the adapter that was used longest ago.
-func (t *track) idleAdapter(now time.Time) (model, name string, ok bool) {
+// lruAdapter returns the least recently used adapter that may be evicted.
+func (t *endpointTracker) lruAdapter(now time.Time) (model, name string, ok bool) {
 	var oldest time.Time
 	for m, r := range t.models {
-		for a, x := range r.adapters {
-			if x.leaving || now.Before(x.readyAt) || now.Sub(x.used) < adapterKeep {
+		for a, ad := range r.adapters {
+			if ad.unloading || now.Before(ad.readyAt) || now.Sub(ad.usedAt) < adapterMinIdle {
 				continue
 			}
-			if !ok || x.used.Before(oldest) {
-				model, name, oldest, ok = m, a, x.used, true
+			if !ok || ad.usedAt.Before(oldest) {
+				model, name, oldest, ok = m, a, ad.usedAt, true
 			}
 		}
 	}
 	return model, name, ok
 }
 
-// adapterRef names an adapter with its model.
+// adapterRef identifies an adapter of a model.
 type adapterRef struct{ model, name string }
 
-// reserveAdapter marks an adapter as coming, and one as leaving if the slots
-// are taken.
-func (t *track) reserveAdapter(now time.Time, engine *fleet.Engine, model, name string) *adapterRef {
+// reserveAdapter marks an adapter as loading. If there is no room it also marks the least
+// recently used one as unloading and returns it.
+func (t *endpointTracker) reserveAdapter(now time.Time, engine *fleet.Engine, model, name string) *adapterRef {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var victim *adapterRef
 	held, sum := t.adapterUse(engine)
 	if held >= engine.AdapterSlots || sum+engine.Models[model].AdapterMB > engine.WeightsMB {
-		if m, a, ok := t.idleAdapter(now); ok {
-			t.models[m].adapters[a].leaving = true
+		if m, a, ok := t.lruAdapter(now); ok {
+			t.models[m].adapters[a].unloading = true
 			victim = &adapterRef{m, a}
 		}
 	}
-	t.models[model].adapters[name] = &adapter{readyAt: now.Add(time.Hour), used: now}
+	// The adapter becomes ready when loadAdapter replaces this entry.
+	t.models[model].adapters[name] = &adapter{readyAt: now.Add(time.Hour), usedAt: now}
 	t.changed = true
 	return victim
 }
 
-func (g *Controller) loadAdapter(ctx context.Context, t *track, token int64, model, name string, victim *adapterRef) {
+func (c *Controller) loadAdapter(ctx context.Context, t *endpointTracker, token int64, model, name string, victim *adapterRef) {
 	ok := true
 	if victim != nil {
-		ok = g.order(ctx, t, token, Order{Model: victim.model, Adapter: victim.name})
+		ok = c.order(ctx, t, token, Order{Model: victim.model, Adapter: victim.name})
 		t.mu.Lock()
 		if r := t.models[victim.model]; r != nil {
 			delete(r.adapters, victim.name)
 		}
 		t.mu.Unlock()
 	}
-	ok = ok && g.order(ctx, t, token, Order{Load: true, Model: model, Adapter: name})
-	ok = ok && wait.For(ctx, adapterTime)
-	now := g.Now()
+	ok = ok && c.order(ctx, t, token, Order{Load: true, Model: model, Adapter: name})
+	ok = ok && wait.For(ctx, adapterLoadTime)
+	now := c.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.changed = true
@@ -176,9 +177,9 @@
 	}
 	if !ok {
 		delete(r.adapters, name)
-		t.known = false
-		t.pause = now.Add(failurePause)
+		t.synced = false
+		t.retryAt = now.Add(failureBackoff)
 		return
 	}
-	r.adapters[name] = &adapter{readyAt: now, used: now}
+	r.adapters[name] = &adapter{readyAt: now, usedAt: now}
 }
--- a/pkg/orders/claim_test.go
+++ b/pkg/orders/claim_test.go
@@ -22,22 +22,22 @@
 
 func election(host string) *orders.Election { return orders.NewElection(holder(host), lease, 0, start) }
 
-// The holder is cut off but lives. Its successor must not order before the
-// former one's lease has run out, or endpoints see two hosts in turn.
-func TestSuccessorWaitsForTheLease(t *testing.T) {
+// Guards against a new holder that sends orders before the former holder's lease has
+// expired.
+func TestSuccessorWaitsForLeaseExpiry(t *testing.T) {
 	is := is.New(t)
 	e := election("b")
 	e.Observe(at(0), orders.Claim{Holder: holder("a"), Token: 1})
 	e.Heard(at(time.Second), 1)
-	is.True(!e.ShouldClaim(at(2 * time.Second))) // heard a second ago
+	is.True(!e.ShouldClaim(at(2 * time.Second))) // last heartbeat one second ago
 	is.True(e.ShouldClaim(at(2500 * time.Millisecond)))
 	e.Won(at(2500*time.Millisecond), 2)
 	is.Equal(e.Token(at(3900*time.Millisecond)), int64(0))
 	is.Equal(e.Token(at(4*time.Second)), int64(2))
 }
 
-// A holder that stops hands its claim on; nobody has to wait for its lease.
-func TestReleasedClaimIsTakenAtOnce(t *testing.T) {
+// Guards against waiting for the lease of a holder that has released its claim.
+func TestReleasedClaimIsTakenImmediately(t *testing.T) {
 	is := is.New(t)
 	e := election("b")
 	released := holder("a")
@@ -48,9 +48,9 @@
 	is.Equal(e.Token(at(0)), int64(6))
 }
 
-// All hosts lose power at once. The new incarnations read the claim of a dead one;
-// each waited for its lease, and no model was loaded for three seconds.
-func TestClaimOfADeadIncarnationIsVacant(t *testing.T) {
+// Guards against waiting for the lease of a holder that has restarted, as when all hosts
+// lose power at once.
+func TestClaimOfRestartedHolderIsVacant(t *testing.T) {
 	is := is.New(t)
 	e := election("b")
 	e.Observe(at(0), orders.Claim{Holder: holder("a"), Token: 5})
@@ -60,16 +60,16 @@
 	is.True(e.ShouldClaim(at(time.Second)))
 	e.Won(at(time.Second), 6)
 	is.Equal(e.Token(at(time.Second)), int64(6))
-	// The entry of the incarnation that holds the claim proves nothing.
+	// The same incarnation is still the holder.
 	f := election("b")
 	f.Observe(at(0), orders.Claim{Holder: holder("a"), Token: 5})
 	f.Restarted("a", "a-1")
 	is.True(!f.Vacant())
 }
 
-// A host does not know yet whether somebody holds the claim: the store was away
-// when it started. Claiming then would depose a healthy holder.
-func TestUnknownClaimsAreNotChallenged(t *testing.T) {
+// Guards against claiming before the existing claims were read, which would depose a
+// healthy holder.
+func TestNoClaimBeforeClaimsAreRead(t *testing.T) {
 	is := is.New(t)
 	e := election("b")
 	is.True(!e.ShouldClaim(at(time.Minute)))
@@ -77,9 +77,9 @@
 	is.True(e.ShouldClaim(at(time.Minute)))
 }
 
-// The holder freezes, another claims meanwhile, the holder wakes. Its steady
-// clock shows no gap, so that it would go on with orders at once.
-func TestFrozenHolderAsksTheStoreFirst(t *testing.T) {
+// Guards against a holder that resumes after a suspend and sends orders although another
+// host has claimed. The monotonic clock does not show the gap.
+func TestSuspendedHolderConfirmsClaim(t *testing.T) {
 	is := is.New(t)
 	e := election("a")
 	e.Caught()
@@ -94,9 +94,9 @@
 	is.Equal(e.Held(), int64(0))
 }
 
-// An endpoint has seen a newer token. Every further order with the old one is
-// refused and charged; the claim is lost for good, whatever is read afterwards.
-func TestRefusedTokenIsNeverUsedAgain(t *testing.T) {
+// Guards against reusing a token that an endpoint has rejected, also after the claim is
+// read again.
+func TestFencedTokenIsNotReused(t *testing.T) {
 	is := is.New(t)
 	e := election("a")
 	e.Caught()
@@ -107,10 +107,9 @@
 	is.Equal(e.Token(at(time.Minute)), int64(0))
 }
 
-// A host's claim is in the store, but the answer to its append is lost, or comes
-// after it has read the claim. It took itself for a host without a claim and
-// claimed again every 0.4 s; nobody gave orders for seconds.
-func TestOwnClaimIsFoundInTheStore(t *testing.T) {
+// Guards against a host that does not recognize its own claim when the response to the
+// append is lost or late, and claims again.
+func TestOwnClaimIsRecognized(t *testing.T) {
 	is := is.New(t)
 	e := election("a")
 	e.Caught()
@@ -121,9 +120,8 @@
 	is.True(!e.ShouldClaim(at(time.Minute)))
 }
 
-// Hosts claim at any time, hear each other or not, and freeze. The store orders
-// the claims. No token is ever held by two hosts, and a host that knows of a
-// newer claim gives no orders.
+// Guards against two hosts using the same token, or a host using a token although it knows
+// a newer claim. Hosts claim, exchange heartbeats and are suspended in any order.
 func TestTokensAreExclusive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c"}
@@ -139,12 +137,12 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
 			i := rapid.IntRange(0, len(hosts)-1).Draw(t, "host")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
-			case 0: // read on
+			case 0: // read all claims
 				for ; read[i] < len(log); read[i]++ {
 					hosts[i].Observe(now, log[read[i]])
 				}
 				hosts[i].Caught()
-			case 1: // claim at the end that was read
+			case 1: // claim at the end of the claims
 				if hosts[i].ShouldClaim(now) && read[i] == len(log) {
 					c := orders.Claim{Holder: holder(names[i]), Token: int64(len(log) + 1)}
 					log = append(log, c)
@@ -163,35 +161,34 @@
 					continue
 				}
 				if o, ok := owner[token]; ok && o != k {
-					t.Fatalf("token %d is used by %s and %s", token, names[o], names[k])
+					t.Fatalf("token %d used by both %s and %s", token, names[o], names[k])
 				}
 				owner[token] = k
 				if token != h.Newest().Token {
-					t.Fatalf("%s orders with %d and knows %d", names[k], token, h.Newest().Token)
+					t.Fatalf("%s uses token %d but knows token %d", names[k], token, h.Newest().Token)
 				}
 			}
 		}
 	})
 }
 
-// The holder freezes while hosts are restarted one after the other. Each new one
-// read the old claim and said that it had heard the holder just now, so that
-// nobody claimed for four seconds, and no model was loaded.
-func TestFreshHostIsNoWitness(t *testing.T) {
+// Guards against a restarted host that reports a heartbeat it has not received, which
+// delays the successor of a dead holder.
+func TestNewHostReportsNoHeartbeat(t *testing.T) {
 	is := is.New(t)
 	fresh := election("c")
 	fresh.Observe(at(2*time.Second), orders.Claim{Holder: holder("a"), Token: 5})
 	is.True(fresh.HeardAgo(at(2*time.Second)) > lease)
-	is.True(!fresh.ShouldClaim(at(2100 * time.Millisecond))) // it may still hear the holder
+	is.True(!fresh.ShouldClaim(at(2100 * time.Millisecond))) // a heartbeat may still arrive
 	fresh.Heard(at(2200*time.Millisecond), 5)
 	is.Equal(fresh.HeardAgo(at(2300*time.Millisecond)), 100*time.Millisecond)
 	fresh.Observe(at(2400*time.Millisecond), orders.Claim{Holder: holder("b"), Token: 6})
-	is.True(fresh.HeardAgo(at(2400*time.Millisecond)) > lease) // not a sign of the new holder
+	is.True(fresh.HeardAgo(at(2400*time.Millisecond)) > lease) // not a heartbeat of the new holder
 }
 
-// Two hosts ask each other about a dead holder in turn. What one has from the
-// other must not get younger on the way, or neither ever claims.
-func TestHearsayKeepsItsAge(t *testing.T) {
+// Guards against forwarded heartbeats that become newer on the way: two hosts that ask each
+// other would keep a dead holder alive.
+func TestForwardedHeartbeatKeepsItsAge(t *testing.T) {
 	is := is.New(t)
 	a, b := election("a"), election("b")
 	for _, e := range []*orders.Election{a, b} {
--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -14,133 +14,128 @@
 )
 
 const (
-	// reportLag is how old an endpoint's report of itself may be.
+	// reportLag is the maximum age of the state in an endpoint's report.
 	reportLag = 250 * time.Millisecond
-	// listLag is how old an entry of the list may be, about two heartbeats.
+	// listLag is the maximum age of an entry in the list of endpoints, about two
+	// heartbeats.
 	listLag = 2500 * time.Millisecond
-	// orderTimeout is how long an order may take. A round trip takes a few
-	// milliseconds, a lost packet a fifth of a second more; the endpoint does nothing
-	// else meanwhile. A repeat does no harm.
+	// orderTimeout limits one attempt to send an order. It leaves time for a
+	// retransmission. Orders may safely be sent twice.
 	orderTimeout = 250 * time.Millisecond
-	// reportTimeout is how long a report may take.
+	// reportTimeout limits one request for a report.
 	reportTimeout = 700 * time.Millisecond
-	// conflictPause is the pause before an order is sent again that met another
-	// order under way: half of the shortest order, an unload.
-	conflictPause = 30 * time.Millisecond
-	// conflictLimit is how long an order is tried; the runs of a model that is
-	// unloaded end by then.
-	conflictLimit = 4 * time.Second
-	// failurePause is how long an endpoint is left alone after a failed swap, two
-	// lags of its report.
-	failurePause = 500 * time.Millisecond
-	// loadMargin is added to the stated time of a load before requests are sent;
-	// a request that comes too early is rejected and counts as a retry.
+	// conflictRetryDelay is the delay before an order is sent again that conflicted with
+	// another one.
+	conflictRetryDelay = 30 * time.Millisecond
+	// conflictTimeout limits the attempts to send an order. Requests that run on a model
+	// that is unloaded end within this time.
+	conflictTimeout = 4 * time.Second
+	// failureBackoff is how long an endpoint gets no orders after a failed swap.
+	failureBackoff = 500 * time.Millisecond
+	// loadMargin is added to the expected time of a load before requests are sent.
+	// Endpoints reject requests that arrive too early.
 	loadMargin = 15 * time.Millisecond
-	// confirmPause is the pause between two questions about a load, half of the
-	// lag of the answers.
-	confirmPause = 120 * time.Millisecond
-	// unsureReady is what is told of a load whose end is not known, a little more
-	// than the lag of reports.
-	unsureReady = 300 * time.Millisecond
+	// loadPollInterval is the interval between reports while a load is not confirmed.
+	loadPollInterval = 120 * time.Millisecond
+	// unconfirmedReadyIn is the time until a model is ready that other hosts are given
+	// while its load is not confirmed. It exceeds reportLag.
+	unconfirmedReadyIn = 300 * time.Millisecond
 	// unloadTime is how long an endpoint takes to unload an idle model.
 	unloadTime = 62 * time.Millisecond
-	// adapterTime is how long an adapter takes from order to use: 5 to 10 ms are
-	// stated, and a margin.
-	adapterTime = 12 * time.Millisecond
-	// ratePerReplica is how many requests a second one replica is to serve. An
-	// endpoint that reads prompts of 650 tokens at 38 a millisecond and makes
-	// tokens between them is at its end at about 30; half of that leaves room for
-	// what shares its batch.
+	// adapterLoadTime is how long after its order an adapter can be used.
+	adapterLoadTime = 12 * time.Millisecond
+	// ratePerReplica is how many requests per second one replica should serve, about half
+	// of what an endpoint can handle.
 	ratePerReplica = 15
 )
 
-// Controller gives orders while this host holds the claim. It is safe for concurrent use.
+// Controller sends orders while this host holds the claim. It is safe for concurrent use.
 type Controller struct {
 	Election *Election
 	Orderer  Orderer
 	Log      *slog.Logger
 	Now      func() time.Time
-	// Config returns the configuration in force, nil before the first.
+	// Config returns the current configuration, or nil before the first is read.
 	Config func() *fleet.Config
 	// Endpoints returns the live endpoints.
 	Endpoints func(now time.Time) []fleet.View
-	// MayOrder is asked before each order, for what this package does not know.
+	// MayOrder is called before each order. Orders are sent only while it returns true.
 	MayOrder func() bool
-	// InNeed tells whether an endpoint states how many requests a second it takes, or has asked
-	// for a pause: it is given no models, and what it holds does not count as a replica. It
-	// may be nil.
+	// InNeed reports whether an endpoint states a request rate limit or has asked this host
+	// to back off. Such an endpoint gets no models, and the models it holds do not count as
+	// replicas. It may be nil.
 	InNeed func(id fleet.EndpointID) bool
-	// LearnedStoreLoads returns how many loads from the weight store a former
-	// controller has found to run at full speed, 0 if that is not known. It may be nil.
+	// LearnedStoreLoads returns the number of concurrent loads that a former controller
+	// found the weight store to run at full speed, or 0 if unknown. It may be nil.
 	LearnedStoreLoads func() int
 
-	mu     sync.Mutex
-	token  int64
-	tracks map[fleet.EndpointID]*track
-	demand *Demand
-	// far names the models without a copy that are asked for.
-	far []fleet.FarModel
-	// store learns how many loads the weight store does at full speed.
-	store  storeLoads
-	strays strays
-	work   sync.WaitGroup
+	mu       sync.Mutex
+	token    int64
+	trackers map[fleet.EndpointID]*endpointTracker
+	demand   *Demand
+	// farModels are the requested models that no endpoint has a copy of.
+	farModels []fleet.FarModel
+	// storeLimit limits concurrent loads from the weight store.
+	storeLimit      loadLimiter
+	unansweredLoads unansweredLoads
+	tasks           sync.WaitGroup
 }
 
-// Report takes in a host's demand.
-func (g *Controller) Report(now time.Time, r fleet.DemandReport) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.demand == nil {
-		g.demand = NewDemand(now)
+// Report records a host's demand.
+func (c *Controller) Report(now time.Time, r fleet.DemandReport) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.demand == nil {
+		c.demand = NewDemand(now)
 	}
-	g.demand.Take(now, r)
+	c.demand.Take(now, r)
 	for _, id := range r.Pausing {
-		if t := g.tracks[id]; t != nil {
-			t.pauses(now)
+		if t := c.trackers[id]; t != nil {
+			t.reportedBackoff(now)
 		}
 	}
 	for _, id := range r.Unreachable {
-		if t := g.tracks[id]; t != nil && (r.Host != g.Election.self.Host || g.demand.alone()) {
-			t.reported(now)
+		if t := c.trackers[id]; t != nil && (r.Host != c.Election.self.Host || c.demand.singleHost()) {
+			t.reportedUnreachable(now)
 		}
 	}
 }
 
-// Step decides and starts orders. It returns what other hosts have to be told;
-// nothing while this host holds no claim.
-func (g *Controller) Step(ctx context.Context, now time.Time, full bool) *fleet.Notice {
-	held := g.Election.Held()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if held != g.token || g.tracks == nil {
-		// A new claim starts from what the endpoints say themselves.
-		g.token = held
-		g.tracks = map[fleet.EndpointID]*track{}
-		g.demand = NewDemand(now)
-		if g.LearnedStoreLoads != nil {
-			g.store.assume(g.LearnedStoreLoads())
+// Step decides on swaps and starts orders. It returns the notice for other hosts, or nil
+// while this host holds no claim.
+func (c *Controller) Step(ctx context.Context, now time.Time, full bool) *fleet.Notice {
+	held := c.Election.Held()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if held != c.token || c.trackers == nil {
+		// A new holder starts from the reports of the endpoints.
+		c.token = held
+		c.trackers = map[fleet.EndpointID]*endpointTracker{}
+		c.demand = NewDemand(now)
+		if c.LearnedStoreLoads != nil {
+			c.storeLimit.restore(c.LearnedStoreLoads())
 		}
 	}
-	cfg := g.Config()
+	cfg := c.Config()
 	if held == 0 || cfg == nil {
 		return nil
 	}
-	byService := g.follow(now, cfg)
-	if token := g.Election.Token(now); token != 0 && g.MayOrder() {
-		totals := g.demand.totals(now)
-		g.far = nil
+	byService := c.syncTrackers(now, cfg)
+	if token := c.Election.Token(now); token != 0 && c.MayOrder() {
+		totals := c.demand.totals(now)
+		c.farModels = nil
 		for _, name := range sortedKeys(byService) {
 			service := cfg.Services[name]
-			g.survey(ctx, now, byService[name])
-			if now.Sub(g.demand.since) < learnTime {
+			c.requestReports(ctx, now, byService[name])
+			if now.Sub(c.demand.since) < warmupTime {
 				continue
 			}
-			reachable := slices.DeleteFunc(byService[name], g.unfit)
-			g.swap(ctx, now, token, service, reachable, totals)
-			g.adapters(ctx, now, token, service, reachable, totals)
+			reachable := slices.DeleteFunc(byService[name], c.excluded)
+			c.startSwaps(ctx, now, token, service, reachable, totals)
+			c.loadAdapters(ctx, now, token, service, reachable, totals)
 		}
 	}
-	return g.notice(now, held, cfg.Version, full)
+	return c.buildNotice(now, held, cfg.Version, full)
 }
 
 func sortedKeys[V any](m map[string]V) []string {
@@ -152,19 +147,20 @@
 	return keys
 }
 
-// follow keeps a track for each live endpoint that runs models.
-func (g *Controller) follow(now time.Time, cfg *fleet.Config) map[string][]*track {
+// syncTrackers creates or updates the tracker of each live endpoint that runs models,
+// removes the others and returns those that take requests, by service.
+func (c *Controller) syncTrackers(now time.Time, cfg *fleet.Config) map[string][]*endpointTracker {
 	live := map[fleet.EndpointID]bool{}
-	byService := map[string][]*track{}
-	for _, v := range g.Endpoints(now) {
+	byService := map[string][]*endpointTracker{}
+	for _, v := range c.Endpoints(now) {
 		if cfg.Services[v.Service].Engine == nil {
 			continue
 		}
 		live[v.ID] = true
-		t := g.tracks[v.ID]
+		t := c.trackers[v.ID]
 		if t == nil {
-			t = newTrack(v)
-			g.tracks[v.ID] = t
+			t = newEndpointTracker(v)
+			c.trackers[v.ID] = t
 		} else {
 			t.update(now, v)
 		}
@@ -172,17 +168,17 @@
 			byService[v.Service] = append(byService[v.Service], t)
 		}
 	}
-	for id := range g.tracks {
+	for id := range c.trackers {
 		if !live[id] {
-			delete(g.tracks, id)
+			delete(c.trackers, id)
 		}
 	}
 	return byService
 }
 
-func (g *Controller) notice(now time.Time, token, version int64, full bool) *fleet.Notice {
-	n := &fleet.Notice{StoreLoads: g.store.allowed(), Far: g.far, Holder: g.Election.self.Host, Token: token, Full: full, ConfigVersion: version}
-	for _, t := range g.tracks {
+func (c *Controller) buildNotice(now time.Time, token, version int64, full bool) *fleet.Notice {
+	n := &fleet.Notice{StoreLoads: c.storeLimit.allowed(), Far: c.farModels, Holder: c.Election.self.Host, Token: token, Full: full, ConfigVersion: version}
+	for _, t := range c.trackers {
 		if t.takeChanged() || full {
 			n.Endpoints = append(n.Endpoints, t.placement(now))
 		}
@@ -190,55 +186,56 @@
 	return n
 }
 
-// survey asks endpoints for their state of which nothing certain is known.
-func (g *Controller) survey(ctx context.Context, now time.Time, tracks []*track) {
-	for _, t := range tracks {
+// requestReports requests a report from each endpoint whose state is not known.
+func (c *Controller) requestReports(ctx context.Context, now time.Time, trackers []*endpointTracker) {
+	for _, t := range trackers {
 		t.mu.Lock()
-		due := !t.known && !t.working && !now.Before(t.pause) && !now.Before(t.busyUntil)
+		due := !t.synced && !t.busy && !now.Before(t.retryAt) && !now.Before(t.busyUntil)
 		if due {
-			t.working = true
-			t.asked = now
+			t.busy = true
+			t.lastReportRequest = now
 		}
 		e := t.endpoint
 		t.mu.Unlock()
 		if !due {
 			continue
 		}
-		g.work.Go(func() {
-			g.ask(ctx, t, e)
+		c.tasks.Go(func() {
+			c.requestReport(ctx, t, e)
 			t.mu.Lock()
-			t.working = false
+			t.busy = false
 			t.mu.Unlock()
 		})
 	}
 }
 
-func (g *Controller) ask(ctx context.Context, t *track, e fleet.Endpoint) {
-	r, err := g.report(ctx, e)
-	now := g.Now()
+func (c *Controller) requestReport(ctx context.Context, t *endpointTracker, e fleet.Endpoint) {
+	r, err := c.report(ctx, e)
+	now := c.Now()
 	if err != nil {
-		g.Log.Info("endpoint gave no report", "endpoint", e.ID, "error", err)
+		c.Log.Info("endpoint report request failed; retrying", "endpoint", e.ID, "error", err)
 		if errors.Is(err, ErrUnreachable) {
-			t.markUnreachable(g.Now())
+			t.markUnreachable(c.Now())
 		}
 		t.mu.Lock()
-		t.pause = now.Add(failurePause)
+		t.retryAt = now.Add(failureBackoff)
 		t.mu.Unlock()
 		return
 	}
-	t.settle(now, r)
+	t.applyReport(now, r)
 }
 
-// unfit endpoints get no models, and others have to hold what they do.
-func (g *Controller) unfit(t *track) bool {
+// excluded reports whether an endpoint gets no models and its models do not count as
+// replicas.
+func (c *Controller) excluded(t *endpointTracker) bool {
 	t.mu.Lock()
-	id, out := t.endpoint.ID, t.reach.lost || g.Now().Sub(t.pausing) < toldFor
+	id, unavailable := t.endpoint.ID, t.reach.lost || c.Now().Sub(t.backoffReported) < peerReportTTL
 	t.mu.Unlock()
-	return out || g.InNeed != nil && g.InNeed(id)
+	return unavailable || c.InNeed != nil && c.InNeed(id)
 }
 
-// swap starts the swaps that the decision asks for.
-func (g *Controller) swap(ctx context.Context, now time.Time, token int64, service fleet.Service, tracks []*track, totals map[need]*total) {
+// startSwaps starts the swaps that package residency decides on.
+func (c *Controller) startSwaps(ctx context.Context, now time.Time, token int64, service fleet.Service, trackers []*endpointTracker, totals map[demandKey]*modelDemand) {
 	engine := service.Engine
 	snap := residency.Snapshot{
 		Now:    now,
@@ -248,42 +245,42 @@
 			RatePerReplica: ratePerReplica,
 		},
 	}
-	byID := map[fleet.EndpointID]*track{}
-	for _, t := range tracks {
+	byID := map[fleet.EndpointID]*endpointTracker{}
+	for _, t := range trackers {
 		e := t.snapshot(now, engine)
-		e.CapacityMB -= g.strayRoom(now, t)
+		e.CapacityMB -= c.reservedMB(now, t)
 		byID[e.ID] = t
 		snap.Endpoints = append(snap.Endpoints, e)
 	}
-	slots := residency.StoreSlots(snap.Endpoints, min(g.store.allowed(), max(1, int(engine.LoadsPerSecond))))
-	loading := g.store.underWay(now)
+	slots := residency.StoreSlots(snap.Endpoints, min(c.storeLimit.allowed(), max(1, int(engine.LoadsPerSecond))))
+	loading := c.storeLimit.inProgress(now)
 	snap.Limits.StoreLoads = slots - loading
 	for _, f := range residency.Far(snap, loading, slots) {
-		g.far = append(g.far, fleet.FarModel{Service: service.Name, Model: f.Model, ReadyIn: f.ReadyIn.Milliseconds()})
+		c.farModels = append(c.farModels, fleet.FarModel{Service: service.Name, Model: f.Model, ReadyIn: f.ReadyIn.Milliseconds()})
 	}
 	for _, s := range residency.Decide(snap) {
 		t := byID[s.Endpoint]
 		t.mu.Lock()
-		t.working = true
-		t.coming = s.Load
+		t.busy = true
+		t.incoming = s.Load
 		for _, v := range s.Evict {
-			t.models[v].leaving = true
+			t.models[v].unloading = true
 		}
 		t.changed = true
 		t.mu.Unlock()
 		var load *storeLoad
 		if s.From == residency.InStore {
-			load = g.store.begin(now, engine.Models[s.Load])
+			load = c.storeLimit.begin(now, engine.Models[s.Load])
 		}
-		g.work.Go(func() { g.carryOut(ctx, t, token, engine, s, load) })
+		c.tasks.Go(func() { c.executeSwap(ctx, t, token, engine, s, load) })
 	}
 }
 
-// models returns the demand for each model of a service; requests for an
-// adapter need its model too.
-func models(service fleet.Service, totals map[need]*total) []residency.Model {
+// models returns the demand for each model of a service. Requests for an adapter count for
+// its model.
+func models(service fleet.Service, totals map[demandKey]*modelDemand) []residency.Model {
 	byName := map[string]*residency.Model{}
-	for key, x := range totals {
+	for key, d := range totals {
 		m, ok := service.Engine.Models[key.model]
 		if key.service != service.Name || !ok {
 			continue
@@ -293,15 +290,15 @@
 			r = &residency.Model{Model: m}
 			byName[key.model] = r
 		}
-		if x.waiting > 0 {
-			r.Due = firstDue(r.Due, r.Waiting, r.InTime, x.due, x.inTime)
+		if d.waiting > 0 {
+			r.Due = firstDue(r.Due, r.Waiting, r.InTime, d.due, d.inTime)
 		}
-		r.Waiting += x.waiting
-		r.InTime += x.inTime
-		r.Inflight += x.inflight
-		r.Rate += x.fast
-		r.Slow += x.slow
-		r.Starting += x.starting
+		r.Waiting += d.waiting
+		r.InTime += d.inTime
+		r.Inflight += d.inflight
+		r.Rate += d.fast
+		r.Slow += d.slow
+		r.Starting += d.starting
 	}
 	out := make([]residency.Model, 0, len(byName))
 	for _, name := range sortedKeys(byName) {
@@ -310,10 +307,10 @@
 	return out
 }
 
-// Wait returns when no order is under way.
-func (g *Controller) Wait() { g.work.Wait() }
+// Wait blocks until no order is in progress.
+func (c *Controller) Wait() { c.tasks.Wait() }
 
-// splitAdapter splits MODEL/NAME@VERSION.
+// splitAdapter splits a name of the form MODEL/NAME@VERSION and drops the version.
 func splitAdapter(name string) (model, adapter string) {
 	model, adapter, _ = strings.Cut(name, "/")
 	adapter, _, _ = strings.Cut(adapter, "@")
--- a/pkg/orders/demand.go
+++ b/pkg/orders/demand.go
@@ -9,123 +9,122 @@
 )
 
 const (
-	// reportLife is how long a host's last report counts. Hosts report at least
-	// every quarter of a second while they have requests.
-	reportLife = 1200 * time.Millisecond
-	// learnTime is how long a new controller listens before its first swap.
-	learnTime = 400 * time.Millisecond
-	// fastMemory and slowMemory are the time constants of the moving rates: the
-	// fast one follows demand that moves within seconds, the slow one ranks
-	// models that get a request every few seconds.
-	fastMemory = 2 * time.Second
-	slowMemory = 12 * time.Second
+	// demandTTL is how long a host's last report counts. Hosts with requests report several
+	// times within it.
+	demandTTL = 1200 * time.Millisecond
+	// warmupTime is how long a new controller collects reports before its first swap.
+	warmupTime = 400 * time.Millisecond
+	// fastTimeConstant and slowTimeConstant are the time constants of the moving averages.
+	// The fast one follows demand that changes within seconds, the slow one ranks rarely
+	// used models.
+	fastTimeConstant = 2 * time.Second
+	slowTimeConstant = 12 * time.Second
 )
 
-// need names a model of a service or, with an adapter, that adapter.
-type need struct{ service, model, adapter string }
+// demandKey identifies a model of a service or, if adapter is set, one of its adapters.
+type demandKey struct{ service, model, adapter string }
 
-// rate is an arrival rate that fades.
-type rate struct {
+// movingRate is an exponentially decaying arrival rate.
+type movingRate struct {
 	fast, slow float64
-	// starting is how many requests wait at endpoints for the first part of their
-	// answers, on the average of the fast time constant.
+	// starting is the moving average of the number of requests that wait at endpoints for
+	// their first token.
 	starting float64
 	at       time.Time
 	lastUsed time.Time
 }
 
-func (r *rate) fade(now time.Time) {
+func (r *movingRate) decay(now time.Time) {
 	dt := now.Sub(r.at).Seconds()
 	if dt <= 0 {
 		return
 	}
-	r.fast *= math.Exp(-dt / fastMemory.Seconds())
-	r.slow *= math.Exp(-dt / slowMemory.Seconds())
-	r.starting *= math.Exp(-dt / fastMemory.Seconds())
+	r.fast *= math.Exp(-dt / fastTimeConstant.Seconds())
+	r.slow *= math.Exp(-dt / slowTimeConstant.Seconds())
+	r.starting *= math.Exp(-dt / fastTimeConstant.Seconds())
 	r.at = now
 }
 
-func (r *rate) add(now time.Time, n int) {
-	r.fade(now)
-	r.fast += float64(n) / fastMemory.Seconds()
-	r.slow += float64(n) / slowMemory.Seconds()
+func (r *movingRate) add(now time.Time, n int) {
+	r.decay(now)
+	r.fast += float64(n) / fastTimeConstant.Seconds()
+	r.slow += float64(n) / slowTimeConstant.Seconds()
 	if n > 0 {
 		r.lastUsed = now
 	}
 }
 
-// Demand sums what all hosts report.
+// Demand sums the demand that all hosts report.
 type Demand struct {
-	// since is when this controller began to listen.
+	// since is when this controller started to collect reports.
 	since time.Time
 	hosts map[string]hostDemand
-	rates map[need]*rate
+	rates map[demandKey]*movingRate
 }
 
 type hostDemand struct {
-	// at is when the needs came, seen when the host last said that they hold.
+	// at is when the needs were received, seen when the host last confirmed them.
 	at, seen    time.Time
 	incarnation string
 	seq         int64
 	needs       []fleet.NeedReport
 }
 
-// NewDemand returns a demand that begins to listen now.
+// NewDemand returns an empty Demand that collects reports from now on.
 func NewDemand(now time.Time) *Demand {
-	return &Demand{since: now, hosts: map[string]hostDemand{}, rates: map[need]*rate{}}
+	return &Demand{since: now, hosts: map[string]hostDemand{}, rates: map[demandKey]*movingRate{}}
 }
 
-// Take takes in a host's report.
-func (d *Demand) Take(now time.Time, r fleet.DemandReport) {
-	old, known := d.hosts[r.Host]
-	known = known && old.incarnation == r.Incarnation
-	if r.Same {
+// Take records a host's report.
+func (d *Demand) Take(now time.Time, report fleet.DemandReport) {
+	old, known := d.hosts[report.Host]
+	known = known && old.incarnation == report.Incarnation
+	if report.Same {
 		if known {
 			old.seen = now
-			d.hosts[r.Host] = old
+			d.hosts[report.Host] = old
 		}
 		return
 	}
-	// A report that comes after a newer one tells of arrivals alone.
-	if !known || r.Seq >= old.seq {
-		d.hosts[r.Host] = hostDemand{at: now, seen: now, incarnation: r.Incarnation, seq: r.Seq, needs: r.Needs}
+	// Of an outdated report only the arrivals count.
+	if !known || report.Seq >= old.seq {
+		d.hosts[report.Host] = hostDemand{at: now, seen: now, incarnation: report.Incarnation, seq: report.Seq, needs: report.Needs}
 	}
-	for _, n := range r.Needs {
-		key := need{n.Service, n.Model, n.Adapter}
-		x := d.rates[key]
-		if x == nil {
-			x = &rate{at: now}
-			d.rates[key] = x
+	for _, n := range report.Needs {
+		key := demandKey{n.Service, n.Model, n.Adapter}
+		r := d.rates[key]
+		if r == nil {
+			r = &movingRate{at: now}
+			d.rates[key] = r
 		}
-		x.add(now, n.Arrived)
-		x.starting += float64(n.Starting) / 1000 / fastMemory.Seconds()
+		r.add(now, n.Arrived)
+		r.starting += float64(n.Starting) / 1000 / fastTimeConstant.Seconds()
 		if n.Inflight > 0 || n.Waiting > 0 {
-			x.lastUsed = now
+			r.lastUsed = now
 		}
 	}
 }
 
-// correction scales a moving rate that has not been observed for long: after a
-// take-over every rate starts at zero, and busy models would be taken for idle
-// and evicted.
-func (d *Demand) correction(now time.Time, memory time.Duration) float64 {
-	observed := max(now.Sub(d.since), learnTime).Seconds()
-	return 1 / (1 - math.Exp(-observed/memory.Seconds()))
+// warmupCorrection returns the factor that scales up a moving average that was started
+// recently. Without it hot models would seem idle to a new controller and be evicted.
+func (d *Demand) warmupCorrection(now time.Time, timeConstant time.Duration) float64 {
+	observed := max(now.Sub(d.since), warmupTime).Seconds()
+	return 1 / (1 - math.Exp(-observed/timeConstant.Seconds()))
 }
 
-// alone tells whether only one host reports.
-func (d *Demand) alone() bool { return len(d.hosts) <= 1 }
+// singleHost reports whether at most one host reports demand.
+func (d *Demand) singleHost() bool { return len(d.hosts) <= 1 }
 
 // Models returns the demand for each model of a service.
 func (d *Demand) Models(now time.Time, service fleet.Service) []residency.Model {
 	return models(service, d.totals(now))
 }
 
-// total is the demand of all hosts for one need.
-type total struct {
+// modelDemand is the demand of all hosts for one key.
+type modelDemand struct {
 	waiting, inflight int
-	// inTime counts the waiting requests that can begin in time; due is that of
-	// the first of these, or of the first of all if there are none.
+	// inTime is the number of waiting requests that can start in time. due is the earliest
+	// due time of these, or of all waiting requests if there are none.
 	inTime     int
 	due        time.Time
 	fast, slow float64
@@ -133,29 +132,29 @@
 	lastUsed   time.Time
 }
 
-// totals sums the reports that still count.
-func (d *Demand) totals(now time.Time) map[need]*total {
-	out := make(map[need]*total, len(d.rates))
-	fast, slow := d.correction(now, fastMemory), d.correction(now, slowMemory)
-	for key, x := range d.rates {
-		x.fade(now)
-		if x.slow < 1e-4 {
+// totals sums the reports that have not expired.
+func (d *Demand) totals(now time.Time) map[demandKey]*modelDemand {
+	out := make(map[demandKey]*modelDemand, len(d.rates))
+	fastFactor, slowFactor := d.warmupCorrection(now, fastTimeConstant), d.warmupCorrection(now, slowTimeConstant)
+	for key, r := range d.rates {
+		r.decay(now)
+		if r.slow < 1e-4 {
 			delete(d.rates, key)
 			continue
 		}
-		out[key] = &total{fast: x.fast * fast, slow: x.slow * slow, starting: x.starting * fast, lastUsed: x.lastUsed}
+		out[key] = &modelDemand{fast: r.fast * fastFactor, slow: r.slow * slowFactor, starting: r.starting * fastFactor, lastUsed: r.lastUsed}
 	}
 	for host, h := range d.hosts {
-		if now.Sub(h.seen) > reportLife {
+		if now.Sub(h.seen) > demandTTL {
 			delete(d.hosts, host)
 			continue
 		}
 		for _, n := range h.needs {
-			key := need{n.Service, n.Model, n.Adapter}
+			key := demandKey{n.Service, n.Model, n.Adapter}
 			if out[key] == nil {
-				// A request that waits counts also where its arrival was told to a
-				// former controller; it would never be served otherwise.
-				out[key] = &total{lastUsed: h.at}
+				// Requests that already waited under a former controller have no arrivals
+				// here, but must be served too.
+				out[key] = &modelDemand{lastUsed: h.at}
 			}
 			out[key].add(h.at, n)
 		}
@@ -163,8 +162,8 @@
 	return out
 }
 
-// firstDue returns the earlier of two times at which waiting begins to cost. That
-// of requests which can be in time goes before that of late ones.
+// firstDue returns the earlier of two due times. The due time of requests that can still be
+// in time takes precedence over that of late ones.
 func firstDue(due time.Time, waiting, inTime int, other time.Time, otherInTime int) time.Time {
 	switch {
 	case waiting == 0, otherInTime > 0 && inTime == 0:
@@ -178,11 +177,11 @@
 	}
 }
 
-func (t *total) add(at time.Time, n fleet.NeedReport) {
+func (d *modelDemand) add(at time.Time, n fleet.NeedReport) {
 	if n.Waiting > 0 {
-		t.due = firstDue(t.due, t.waiting, t.inTime, n.Due(at), n.InTime)
+		d.due = firstDue(d.due, d.waiting, d.inTime, n.Due(at), n.InTime)
 	}
-	t.waiting += n.Waiting
-	t.inTime += n.InTime
-	t.inflight += n.Inflight
+	d.waiting += n.Waiting
+	d.inTime += n.InTime
+	d.inflight += n.Inflight
 }
--- a/pkg/orders/demand_test.go
+++ b/pkg/orders/demand_test.go
@@ -10,10 +10,9 @@
 	"github.com/tealvane/tealvane/pkg/orders"
 )
 
-// Two hosts each tell four times a second for how long requests waited for their first
-// words. A second of waiting in each second means one request that waits all the time,
-// however many requests that were.
-func TestWaitForTheFirstPartIsSummedOverHosts(t *testing.T) {
+// Guards against losing the reported waits for first tokens of some hosts. One second of
+// waiting per second counts as one request.
+func TestFirstTokenWaitIsSummedOverHosts(t *testing.T) {
 	is := is.New(t)
 	d := orders.NewDemand(start)
 	service := fleet.Service{Name: "llm", Engine: &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m"}}}}
--- /dev/null
+++ b/pkg/orders/endpointtracker.go
@@ -0,0 +1,293 @@
+package orders
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/tealvane/tealvane/pkg/fleet"
+	"github.com/tealvane/tealvane/pkg/residency"
+)
+
+// endpointTracker holds the controller's view of one endpoint. It has its own lock.
+type endpointTracker struct {
+	mu       sync.Mutex
+	endpoint fleet.Endpoint
+	offset   int64
+	// synced is set once the endpoint's own report was applied under this claim.
+	synced   bool
+	sequence int64
+	// uncertain is the expected sequence of an order that was abandoned without a response,
+	// or noSequence.
+	uncertain int64
+	models    map[string]*resident
+	copies    map[string]residency.Tier
+	// busy is set while a swap or a report request is in progress. incoming is the
+	// model of the swap until its load has started.
+	busy     bool
+	incoming string
+	// busyUntil is when the current load ends.
+	busyUntil time.Time
+	// lastOrder is when the last order was sent.
+	lastOrder time.Time
+	reach     reachability
+	// backoffReported is when a host last reported that the endpoint asked it to back off.
+	backoffReported time.Time
+	// lastReportRequest is when the endpoint was last asked for a report.
+	lastReportRequest time.Time
+	// retryAt is the earliest time of the next attempt after a failure.
+	retryAt time.Time
+	changed bool
+
+	// orderMu serializes the orders to the endpoint, so that their sequence has no gaps.
+	orderMu sync.Mutex
+}
+
+// noSequence is lower than every sequence.
+const noSequence = -1
+
+type resident struct {
+	readyAt   time.Time
+	since     time.Time
+	unloading bool
+	// unconfirmed is set after a slow load until the endpoint has confirmed it.
+	unconfirmed bool
+	adapters    map[string]*adapter
+}
+
+type adapter struct {
+	readyAt   time.Time
+	unloading bool
+	usedAt    time.Time
+}
+
+func newEndpointTracker(v fleet.View) *endpointTracker {
+	t := &endpointTracker{uncertain: noSequence, endpoint: v.Endpoint, models: map[string]*resident{}, copies: map[string]residency.Tier{}, changed: true}
+	t.replaceModels(time.Time{}, v.Holds)
+	t.offset = v.Offset
+	t.updateCopies(time.Time{}, v.Endpoint)
+	return t
+}
+
+// reachability is the state of the connections to an endpoint. An endpoint is lost when
+// this host and another one cannot connect, so that a controller that is cut off alone does
+// not take it away from the others. The models of a lost endpoint are loaded elsewhere,
+// without waiting until the list drops it.
+type reachability struct {
+	// failed is set while this host cannot connect. reported is when another host last
+	// failed to connect. lost is set once both apply, until the endpoint responds.
+	failed   bool
+	reported time.Time
+	lost     bool
+}
+
+// peerReportTTL is how long another host's report about an endpoint counts.
+const peerReportTTL = 2 * time.Second
+
+// reportedUnreachable records that another host could not connect. A new report is
+// requested unless a request is in progress or recent.
+func (t *endpointTracker) reportedUnreachable(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.reach.reported = now
+	t.updateReachability(now)
+	if !t.reach.failed && !t.busy && now.Sub(t.lastReportRequest) > failureBackoff {
+		t.synced = false
+	}
+}
+
+// reportedBackoff records that the endpoint has asked a host to back off.
+func (t *endpointTracker) reportedBackoff(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.backoffReported = now
+}
+
+// markUnreachable records that this host could not connect.
+func (t *endpointTracker) markUnreachable(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.reach.failed = true
+	t.updateReachability(now)
+}
+
+func (t *endpointTracker) updateReachability(now time.Time) {
+	if t.reach.failed && now.Sub(t.reach.reported) < peerReportTTL && !t.reach.lost {
+		t.reach.lost = true
+		t.changed = true
+	}
+}
+
+// replaceModels replaces the tracked models with those that the endpoint holds.
+func (t *endpointTracker) replaceModels(now time.Time, holds []fleet.Held) {
+	old := t.models
+	t.models = make(map[string]*resident, len(holds))
+	for _, h := range holds {
+		r := old[h.Model]
+		if r == nil {
+			r = &resident{since: now, adapters: map[string]*adapter{}}
+		}
+		r.unloading = false
+		r.unconfirmed = false
+		adapters := make(map[string]*adapter, len(h.Adapters))
+		for _, name := range h.Adapters {
+			a := r.adapters[name]
+			if a == nil {
+				a = &adapter{usedAt: now}
+			}
+			a.unloading = false
+			adapters[name] = a
+		}
+		r.adapters = adapters
+		t.models[h.Model] = r
+		t.copies[h.Model] = max(t.copies[h.Model], residency.OnDisk)
+	}
+	t.changed = true
+}
+
+// updateCopies replaces the cached copies with those in the list. Copies of models that
+// were loaded recently are kept, because the list lags. Copies that the endpoint has
+// evicted are dropped.
+func (t *endpointTracker) updateCopies(now time.Time, e fleet.Endpoint) {
+	if len(e.OnDisk)+len(e.InMemory) == 0 {
+		return
+	}
+	old := t.copies
+	t.copies = make(map[string]residency.Tier, len(old))
+	for _, m := range e.OnDisk {
+		t.copies[m] = residency.OnDisk
+	}
+	for _, m := range e.InMemory {
+		t.copies[m] = residency.InMemory
+	}
+	for m, r := range t.models {
+		if now.Sub(r.since) < listLag {
+			t.copies[m] = max(t.copies[m], old[m])
+		}
+	}
+}
+
+// update applies a newer entry of the list of endpoints. Entries lag behind orders, so they
+// are compared only with models that no recent order has changed.
+func (t *endpointTracker) update(now time.Time, v fleet.View) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if v.Offset <= t.offset {
+		return
+	}
+	t.offset = v.Offset
+	t.endpoint = v.Endpoint
+	t.updateCopies(now, v.Endpoint)
+	if t.synced && !t.busy && now.Sub(t.lastOrder) > listLag && !sameModels(t.models, v.Holds) {
+		// The endpoint has executed orders of another holder or delayed ones.
+		t.synced = false
+	}
+}
+
+func sameModels(models map[string]*resident, holds []fleet.Held) bool {
+	if len(models) != len(holds) {
+		return false
+	}
+	for _, h := range holds {
+		if r := models[h.Model]; r == nil || r.unloading {
+			return false
+		}
+	}
+	return true
+}
+
+// applyReport applies the endpoint's own report, requested while no order was in progress.
+// The report may predate the last order of a former holder. This is safe because an order
+// is rejected if its expected sequence is outdated.
+func (t *endpointTracker) applyReport(now time.Time, r fleet.Report) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sequence = r.Sequence
+	t.changed = t.changed || t.reach.lost
+	t.reach = reachability{}
+	if r.Busy {
+		t.retryAt = now.Add(reportLag)
+		return
+	}
+	t.replaceModels(now, r.Holds)
+	for _, name := range r.Loading {
+		model, a := splitAdapter(name)
+		if m := t.models[model]; m != nil && m.adapters[a] == nil {
+			m.adapters[a] = &adapter{readyAt: now.Add(reportLag), usedAt: now}
+		}
+	}
+	t.synced = true
+}
+
+// snapshot returns the endpoint for a decision of package residency.
+func (t *endpointTracker) snapshot(now time.Time, engine *fleet.Engine) residency.Endpoint {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := residency.Endpoint{
+		ID:         t.endpoint.ID,
+		Zone:       t.endpoint.Zone,
+		CapacityMB: engine.WeightsMB,
+		Copies:     make(map[string]residency.Tier, len(t.copies)),
+		Busy:       t.busy || !t.synced || now.Before(t.retryAt) || now.Before(t.busyUntil),
+	}
+	for name, tier := range t.copies {
+		e.Copies[name] = tier
+	}
+	for name, r := range t.models {
+		e.Residents = append(e.Residents, residency.Resident{
+			Model:    name,
+			MB:       engine.Models[name].WeightsMB,
+			Ready:    !now.Before(r.readyAt) && !r.unconfirmed,
+			Since:    r.since,
+			Leaving:  r.unloading,
+			Adapters: len(r.adapters),
+		})
+	}
+	if t.incoming != "" {
+		// The unloads of a swap may take seconds. Without the incoming model another
+		// endpoint would load it for the same requests.
+		e.Residents = append(e.Residents, residency.Resident{Model: t.incoming, MB: engine.Models[t.incoming].WeightsMB})
+	}
+	slices.SortFunc(e.Residents, func(a, b residency.Resident) int {
+		if a.Model < b.Model {
+			return -1
+		}
+		return 1
+	})
+	return e
+}
+
+// placement returns the endpoint's models for other hosts.
+func (t *endpointTracker) placement(now time.Time) fleet.Placement {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	p := fleet.Placement{Endpoint: t.endpoint.ID}
+	if t.reach.lost {
+		return p
+	}
+	for name, r := range t.models {
+		m := fleet.ModelPlacement{Model: name, Leaving: r.unloading}
+		if wait := r.readyAt.Sub(now); wait > 0 || r.unconfirmed {
+			m.ReadyIn = max(1, wait.Milliseconds())
+		}
+		if r.unconfirmed {
+			m.ReadyIn = max(m.ReadyIn, unconfirmedReadyIn.Milliseconds())
+		}
+		for a, ad := range r.adapters {
+			if !ad.unloading && !now.Before(ad.readyAt) {
+				m.Adapters = append(m.Adapters, a)
+			}
+		}
+		p.Models = append(p.Models, m)
+	}
+	return p
+}
+
+// takeChanged reports whether the endpoint has changed since the last call.
+func (t *endpointTracker) takeChanged() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := t.changed
+	t.changed = false
+	return c
+}
--- a/pkg/orders/engine_test.go
+++ b/pkg/orders/engine_test.go
@@ -12,10 +12,10 @@
 	"github.com/tealvane/tealvane/pkg/orders"
 )
 
-// loadTime is the time of a load from the endpoint's disk.
+// loadTime is the duration of a load from the endpoint's disk.
 const loadTime = 500 * time.Millisecond
 
-// engine is an endpoint as it truly is.
+// engine is a simulated endpoint.
 type engine struct {
 	mu       sync.Mutex
 	capacity float64
@@ -24,21 +24,20 @@
 	loading  string
 	sequence int64
 	fence    int64
-	// lag delays reports: they tell the state of then.
-	past   []past
-	faults []string
-	// lose decides what is lost of the next order: nothing, the order or its
-	// answer, or that it is carried out late.
-	lose func() loss
-	// silent endpoints answer no report, those that are down take no connection, and limited
-	// ones are not to be called.
+	// history holds past states, since reports lag by reportLag.
+	history []pastReport
+	faults  []string
+	// nextLoss returns what happens to the next order.
+	nextLoss func() loss
+	// silent makes reports fail, down makes connections fail and limited makes orders fail
+	// with ErrLimited.
 	silent  bool
 	down    bool
 	limited bool
 	orders  int
 }
 
-type past struct {
+type pastReport struct {
 	at     time.Time
 	report fleet.Report
 }
@@ -46,23 +45,24 @@
 type loss int
 
 const (
-	nothing loss = iota
+	noLoss loss = iota
 	lostOrder
-	lostAnswer
-	late
+	lostResponse
+	delayedOrder
 )
 
 func newEngine(capacity float64, weights map[string]float64, holds ...string) *engine {
-	e := &engine{capacity: capacity, weights: weights, holds: map[string]map[string]bool{}, lose: func() loss { return nothing }}
+	e := &engine{capacity: capacity, weights: weights, holds: map[string]map[string]bool{}, nextLoss: func() loss { return noLoss }}
 	for _, h := range holds {
 		e.holds[h] = map[string]bool{}
 	}
-	e.remember()
+	e.record()
 	return e
 }
 
-// remember keeps the state for reports that lag; the engine is locked or new.
-func (e *engine) remember() {
+// record appends the current state to the history and checks the memory in use. mu must be
+// held unless the engine is new.
+func (e *engine) record() {
 	r := fleet.Report{Busy: e.loading != "", Sequence: e.sequence}
 	sum := 0.0
 	for m, adapters := range e.holds {
@@ -77,12 +77,11 @@
 	if sum > e.capacity {
 		e.faults = append(e.faults, fmt.Sprintf("%v MB of %v", sum, e.capacity))
 	}
-	e.past = append(e.past, past{time.Now(), r})
+	e.history = append(e.history, pastReport{time.Now(), r})
 }
 
 const reportLag = 200 * time.Millisecond
 
-// Report implements orders.Orderer.
 func (e *engine) Report(context.Context, fleet.Endpoint) (fleet.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,8 +91,8 @@
 	if e.down {
 		return fleet.Report{}, orders.ErrUnreachable
 	}
-	r := e.past[0].report
-	for _, p := range e.past {
+	r := e.history[0].report
+	for _, p := range e.history {
 		if time.Since(p.at) >= reportLag {
 			r = p.report
 		}
@@ -101,11 +100,10 @@
 	return r, nil
 }
 
-// Order implements orders.Orderer.
 func (e *engine) Order(ctx context.Context, _ fleet.Endpoint, o orders.Order) (orders.Result, error) {
 	e.mu.Lock()
 	e.orders++
-	l, down, limited := e.lose(), e.down, e.limited
+	l, down, limited := e.nextLoss(), e.down, e.limited
 	e.mu.Unlock()
 	if limited {
 		return 0, orders.ErrLimited
@@ -117,19 +115,19 @@
 	case lostOrder:
 		<-ctx.Done()
 		return 0, errors.Join(orders.ErrNoAnswer, ctx.Err())
-	case lostAnswer:
-		e.carryOut(o)
+	case lostResponse:
+		e.execute(o)
 		<-ctx.Done()
 		return 0, errors.Join(orders.ErrNoAnswer, ctx.Err())
-	case late:
-		time.AfterFunc(3*time.Second, func() { e.carryOut(o) })
+	case delayedOrder:
+		time.AfterFunc(3*time.Second, func() { e.execute(o) })
 		<-ctx.Done()
 		return 0, errors.Join(orders.ErrNoAnswer, ctx.Err())
 	}
-	return e.carryOut(o), nil
+	return e.execute(o), nil
 }
 
-func (e *engine) carryOut(o orders.Order) orders.Result {
+func (e *engine) execute(o orders.Order) orders.Result {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.Token < e.fence {
@@ -156,14 +154,15 @@
 			defer e.mu.Unlock()
 			e.loading = ""
 			e.holds[o.Model] = map[string]bool{}
-			e.remember()
+			e.record()
 		})
 	}
-	e.remember()
+	e.record()
 	return orders.Accepted
 }
 
-// restart empties the endpoint, as a new start under the same name does.
+// restart empties the endpoint and resets its sequence, as a restart under the same name
+// does.
 func (e *engine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -171,8 +170,8 @@
 	e.loading = ""
 	e.sequence = 0
 	e.fence = 0
-	e.past = nil
-	e.remember()
+	e.history = nil
+	e.record()
 }
 
 func (e *engine) held() []string {
--- a/pkg/orders/holderlease.go
+++ b/pkg/orders/holderlease.go
@@ -6,62 +6,60 @@
 )
 
 const (
-	// leaseMargin is kept of a lease that other hosts have granted: an order takes
-	// up to orderTimeout, and a lost packet of it a fifth of a second more.
+	// leaseMargin is subtracted from leases granted by other hosts. It covers orderTimeout
+	// and a retransmission.
 	leaseMargin = orderTimeout + 250*time.Millisecond
-	// storeParts divides the lease: an answer of the store counts for that part of it.
-	storeParts = 2
+	// storeLeaseDivisor sets how long a read of the store counts, as a fraction of the
+	// lease.
+	storeLeaseDivisor = 2
 )
 
-// HolderLease tells whether the holder of a claim may give orders where endpoints do
-// not check fencing tokens, so that nothing but the holder itself keeps two hosts
-// from giving orders in turn. It may while it is certain that no other host does:
+// HolderLease decides whether the holder of a claim may send orders to endpoints that do
+// not check fencing tokens. It may while it is certain that no other host does:
 //
-//   - it has read the store within half of the lease, or another host has and knew no
-//     newer claim after that; or
-//   - every known host has just heard it. A host gives orders by a claim of its own
-//     only a whole lease after it has last heard the former holder, so that each
-//     answer to a notice grants the holder a lease. Hosts that it does not know have
-//     granted none; a message from one ends this.
+//   - it has read the store within storeLeaseTime, or another host that knew no newer claim
+//     has; or
+//   - every known host has acknowledged a recent notice of the holder. A host sends orders
+//     under a claim of its own only one lease after it last heard from the former holder,
+//     so each acknowledgment grants the holder a lease. Unknown hosts have granted none, so
+//     a message from one suspends this rule.
 //
-// Without the second and third, a holder that the store does not answer gave no
-// orders for as long as it was cut off, while all others heard it and none claimed:
-// for 7 s no model was loaded. It is safe for concurrent use.
+// Acknowledgments let a holder that is cut off from the store continue to send orders.
+// HolderLease is safe for concurrent use.
 type HolderLease struct {
 	lease time.Duration
 
 	mu    sync.Mutex
 	token int64
-	// granted is when each host last heard the holder, at the earliest.
+	// granted is when each host last granted a lease, at the earliest.
 	granted map[string]time.Time
-	// storeRead is when the store last answered another host that knew no newer claim.
+	// storeRead is when another host that knew no newer claim last read the store.
 	storeRead time.Time
-	// unknownHost is when a host that is not known last sent something.
+	// unknownHost is when an unknown host last sent a message.
 	unknownHost time.Time
 }
 
-// NewHolderLease returns the lease of a host that no other has heard.
+// NewHolderLease returns a HolderLease without grants.
 func NewHolderLease(lease time.Duration) *HolderLease {
 	return &HolderLease{lease: lease, granted: map[string]time.Time{}}
 }
 
-// NoticeAnswer is what another host answers to a notice.
+// NoticeAnswer is another host's response to a notice.
 type NoticeAnswer struct {
-	// Host is the answering host.
 	Host string
-	// Sent is when the notice was sent, before the other host can have heard it.
+	// Sent is when the notice was sent, which is before the other host received it.
 	Sent time.Time
-	// Token is that of the newest claim known there.
+	// Token is the token of the newest claim that the responding host knows.
 	Token int64
-	// StoreAge is how long ago the store answered that host.
+	// StoreAge is the time since that host last read the store.
 	StoreAge time.Duration
 }
 
-// Heard takes in another host's answer to a notice of the holder of a token.
+// Heard records another host's response to a notice of the holder of a token.
 func (l *HolderLease) Heard(token int64, a NoticeAnswer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.take(token)
+	l.reset(token)
 	if a.Token != token {
 		return
 	}
@@ -73,15 +71,15 @@
 	}
 }
 
-// UnknownHost notes a message of a host that this one does not know.
+// UnknownHost records a message from a host that is not known.
 func (l *HolderLease) UnknownHost(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unknownHost = now
 }
 
-// take forgets what was granted to a former claim.
-func (l *HolderLease) take(token int64) {
+// reset drops what was granted for a former claim.
+func (l *HolderLease) reset(token int64) {
 	if l.token == token {
 		return
 	}
@@ -90,17 +88,17 @@
 	clear(l.granted)
 }
 
-// storeLife is for how long an answer of the store lets a holder give orders.
-func storeLife(lease time.Duration) time.Duration { return lease / storeParts }
+// storeLeaseTime returns how long a read of the store allows a holder to send orders.
+func storeLeaseTime(lease time.Duration) time.Duration { return lease / storeLeaseDivisor }
 
-// Settle is how long the orders of a holder that cannot know of a newer claim may
-// still arrive after that claim.
-func Settle(lease time.Duration) time.Duration { return storeLife(lease) + orderTimeout }
+// Settle returns how long after a newer claim orders may still arrive from a former holder
+// that does not know of it.
+func Settle(lease time.Duration) time.Duration { return storeLeaseTime(lease) + orderTimeout }
 
-// May tells whether the holder of a token may give orders. storeAge is how long ago
-// the store answered this host, hosts names all others that it knows.
+// May reports whether the holder of a token may send orders. storeAge is the time since
+// this host last read the store. hosts are all other known hosts.
 func (l *HolderLease) May(now time.Time, token int64, storeAge time.Duration, hosts []string) bool {
-	if storeAge < storeLife(l.lease) {
+	if storeAge < storeLeaseTime(l.lease) {
 		return true
 	}
 	l.mu.Lock()
@@ -108,7 +106,7 @@
 	if l.token != token {
 		return false
 	}
-	return now.Sub(l.storeRead) < storeLife(l.lease) || l.grantedByAll(now, hosts)
+	return now.Sub(l.storeRead) < storeLeaseTime(l.lease) || l.grantedByAll(now, hosts)
 }
 
 func (l *HolderLease) grantedByAll(now time.Time, hosts []string) bool {
--- a/pkg/orders/holderlease_test.go
+++ b/pkg/orders/holderlease_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// The store answers no host, or not the holder. All others hear the holder, and none
-// can give orders; a holder that waited for the store left users of models that were
-// not loaded without an answer for as long as the store was away.
-func TestHolderLeaseWithoutTheStore(t *testing.T) {
-	const away = time.Hour
+// Guards against a holder that stops sending orders while the store is unreachable although
+// all other hosts acknowledge it, and against one that continues without their
+// acknowledgment.
+func TestHolderLeaseWithoutStore(t *testing.T) {
+	const longAgo = time.Hour
 	answer := func(host string, sent time.Duration, token int64, storeAge time.Duration) orders.NoticeAnswer {
 		return orders.NoticeAnswer{Host: host, Sent: at(sent), Token: token, StoreAge: storeAge}
 	}
@@ -25,15 +25,15 @@
 		storeAge time.Duration
 		may      bool
 	}{
-		{name: "the store has just answered", now: time.Second, storeAge: time.Second, may: true},
-		{name: "nobody has answered", now: time.Second, storeAge: away},
-		{name: "all have heard it", answers: []orders.NoticeAnswer{answer("b", 0, 1, away), answer("c", 100*time.Millisecond, 1, away)}, now: 2 * time.Second, storeAge: away, may: true},
-		{name: "one has not", answers: []orders.NoticeAnswer{answer("b", 0, 1, away)}, now: time.Second, storeAge: away},
-		{name: "one has long ago", answers: []orders.NoticeAnswer{answer("b", 0, 1, away), answer("c", 2*time.Second, 1, away)}, now: 3 * time.Second, storeAge: away},
-		{name: "one knows a newer claim", answers: []orders.NoticeAnswer{answer("b", 0, 1, away), answer("c", 0, 2, away)}, now: time.Second, storeAge: away},
-		{name: "a host that is not known has spoken", answers: []orders.NoticeAnswer{answer("b", 0, 1, away), answer("c", 0, 1, away)}, unknown: true, now: time.Second, storeAge: away},
-		{name: "one that reads the store knows no newer claim", answers: []orders.NoticeAnswer{answer("b", 0, 1, time.Second)}, now: 400 * time.Millisecond, storeAge: away, may: true},
-		{name: "but its own read is too long ago", answers: []orders.NoticeAnswer{answer("b", 0, 1, time.Second)}, now: 600 * time.Millisecond, storeAge: away},
+		{name: "store read recently", now: time.Second, storeAge: time.Second, may: true},
+		{name: "no acknowledgment", now: time.Second, storeAge: longAgo},
+		{name: "acknowledged by all hosts", answers: []orders.NoticeAnswer{answer("b", 0, 1, longAgo), answer("c", 100*time.Millisecond, 1, longAgo)}, now: 2 * time.Second, storeAge: longAgo, may: true},
+		{name: "one host missing", answers: []orders.NoticeAnswer{answer("b", 0, 1, longAgo)}, now: time.Second, storeAge: longAgo},
+		{name: "one acknowledgment expired", answers: []orders.NoticeAnswer{answer("b", 0, 1, longAgo), answer("c", 2*time.Second, 1, longAgo)}, now: 3 * time.Second, storeAge: longAgo},
+		{name: "one host knows a newer claim", answers: []orders.NoticeAnswer{answer("b", 0, 1, longAgo), answer("c", 0, 2, longAgo)}, now: time.Second, storeAge: longAgo},
+		{name: "message from an unknown host", answers: []orders.NoticeAnswer{answer("b", 0, 1, longAgo), answer("c", 0, 1, longAgo)}, unknown: true, now: time.Second, storeAge: longAgo},
+		{name: "store read recently by another host", answers: []orders.NoticeAnswer{answer("b", 0, 1, time.Second)}, now: 400 * time.Millisecond, storeAge: longAgo, may: true},
+		{name: "store read by another host expired", answers: []orders.NoticeAnswer{answer("b", 0, 1, time.Second)}, now: 600 * time.Millisecond, storeAge: longAgo},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -45,15 +45,14 @@
 				l.Heard(1, a)
 			}
 			is.Equal(l.May(at(c.now), 1, c.storeAge, []string{"b", "c"}), c.may)
-			is.Equal(l.May(at(c.now), 2, away, []string{"b", "c"}), false) // nothing was granted to another claim
+			is.Equal(l.May(at(c.now), 2, longAgo, []string{"b", "c"}), false) // no grants for another claim
 		})
 	}
 }
 
-// Endpoints do not check tokens. Hosts lose one another and the store in any order
-// and at any moments; two of them gave orders in turn, and an endpoint was told to
-// load by one what the other had evicted.
-func TestNoTwoHostsOrderInTurn(t *testing.T) {
+// Guards against two hosts that send orders at the same time to endpoints that do not check
+// fencing tokens. Hosts lose connections to each other and to the store in any order.
+func TestHoldersDoNotOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newLeaseWorld()
 		for range 40 {
@@ -67,21 +66,21 @@
 
 const (
 	tick        = 50 * time.Millisecond
-	noticeEvery = 6 // ticks between two notices: 0.3 s
-	listenFor   = 400 * time.Millisecond
-	// inFlight is how long an order may be on its way.
+	noticeEvery = 6 // in ticks
+	warmup      = 400 * time.Millisecond
+	// inFlight is how long an order may take to arrive.
 	inFlight = 250 * time.Millisecond
 )
 
-// leaseHost is one host of a world in which endpoints do not check tokens.
+// leaseHost is a host of a leaseWorld.
 type leaseHost struct {
-	name     string
-	election *orders.Election
-	lease    *orders.HolderLease
-	storeAt  time.Time
-	store    bool
-	won      time.Time
-	held     int64
+	name           string
+	election       *orders.Election
+	lease          *orders.HolderLease
+	storeRead      time.Time
+	storeReachable bool
+	won            time.Time
+	held           int64
 }
 
 type leaseWorld struct {
@@ -90,30 +89,30 @@
 	hosts []*leaseHost
 	cut   map[[2]string]bool
 	claim orders.Claim
-	// ordered is when orders were last given with a token.
-	ordered map[int64]time.Time
+	// lastOrder is when the last order with each token was sent.
+	lastOrder map[int64]time.Time
 }
 
 func newLeaseWorld() *leaseWorld {
-	w := &leaseWorld{now: start, cut: map[[2]string]bool{}, ordered: map[int64]time.Time{}}
+	w := &leaseWorld{now: start, cut: map[[2]string]bool{}, lastOrder: map[int64]time.Time{}}
 	for _, name := range []string{"a", "b", "c"} {
 		w.hosts = append(w.hosts, &leaseHost{
-			name:     name,
-			election: orders.NewElection(holder(name), lease, orders.Settle(lease), start),
-			lease:    orders.NewHolderLease(lease),
-			storeAt:  start,
-			store:    true,
+			name:           name,
+			election:       orders.NewElection(holder(name), lease, orders.Settle(lease), start),
+			lease:          orders.NewHolderLease(lease),
+			storeRead:      start,
+			storeReachable: true,
 		})
 	}
 	return w
 }
 
-// change cuts or heals one link, or a host's path to the store.
+// change toggles the connection between two hosts or between a host and the store.
 func (w *leaseWorld) change(t *rapid.T) {
 	a := rapid.SampledFrom(w.hosts).Draw(t, "host")
 	b := rapid.SampledFrom(w.hosts).Draw(t, "peer")
 	if a == b {
-		a.store = !a.store
+		a.storeReachable = !a.storeReachable
 		return
 	}
 	key := linkOf(a, b)
@@ -128,13 +127,13 @@
 	w.now = w.now.Add(tick)
 	w.ticks++
 	for _, h := range w.hosts {
-		if h.store {
-			h.storeAt = w.now
+		if h.storeReachable {
+			h.storeRead = w.now
 			h.election.Observe(w.now, w.claim)
 			h.election.Caught()
 		}
-		if h.election.ShouldClaim(w.now) && (h.election.Vacant() || !w.witnessed(h)) {
-			w.take(h)
+		if h.election.ShouldClaim(w.now) && (h.election.Vacant() || !w.heardElsewhere(h)) {
+			w.claimNow(h)
 		}
 		if held := h.election.Held(); held != h.held {
 			h.held, h.won = held, w.now
@@ -146,7 +145,7 @@
 	}
 }
 
-func (w *leaseWorld) witnessed(h *leaseHost) bool {
+func (w *leaseWorld) heardElsewhere(h *leaseHost) bool {
 	for _, p := range w.hosts {
 		if p != h && !w.cut[linkOf(h, p)] && p.election.HeardAgo(w.now) < 700*time.Millisecond {
 			return true
@@ -155,9 +154,9 @@
 	return false
 }
 
-// take appends a claim if the host has read all claims before.
-func (w *leaseWorld) take(h *leaseHost) {
-	if !h.store || h.election.Newest().Token != w.claim.Token {
+// claimNow appends a claim if the host has read all earlier ones.
+func (w *leaseWorld) claimNow(h *leaseHost) {
+	if !h.storeReachable || h.election.Newest().Token != w.claim.Token {
 		return
 	}
 	w.claim = orders.Claim{Holder: holder(h.name), Token: w.claim.Token + 1}
@@ -173,11 +172,12 @@
 		p.election.Heard(w.now, h.held)
 		newest := p.election.Newest()
 		h.election.Observe(w.now, newest)
-		h.lease.Heard(h.held, orders.NoticeAnswer{Host: p.name, Sent: w.now, Token: newest.Token, StoreAge: w.now.Sub(p.storeAt)})
+		h.lease.Heard(h.held, orders.NoticeAnswer{Host: p.name, Sent: w.now, Token: newest.Token, StoreAge: w.now.Sub(p.storeRead)})
 	}
 }
 
-// order checks that no order meets one with another token on its way.
+// order sends an order if the host may and checks that it cannot overlap with one that has
+// another token.
 func (w *leaseWorld) order(t *rapid.T, h *leaseHost) {
 	var others []string
 	for _, p := range w.hosts {
@@ -186,13 +186,13 @@
 		}
 	}
 	token := h.election.Token(w.now)
-	if token == 0 || w.now.Sub(h.won) < listenFor || !h.lease.May(w.now, token, w.now.Sub(h.storeAt), others) {
+	if token == 0 || w.now.Sub(h.won) < warmup || !h.lease.May(w.now, token, w.now.Sub(h.storeRead), others) {
 		return
 	}
-	for other, last := range w.ordered {
+	for other, last := range w.lastOrder {
 		if other > token || other < token && w.now.Sub(last) < inFlight {
-			t.Fatalf("%s orders with token %d %v after an order with token %d", h.name, token, w.now.Sub(last), other)
+			t.Fatalf("%s sent an order with token %d %v after one with token %d", h.name, token, w.now.Sub(last), other)
 		}
 	}
-	w.ordered[token] = w.now
+	w.lastOrder[token] = w.now
 }
--- a/pkg/orders/orderer.go
+++ b/pkg/orders/orderer.go
@@ -7,36 +7,36 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// Order is one order to an endpoint.
+// Order is an order for an endpoint.
 type Order struct {
-	// Load loads, otherwise the order unloads.
+	// Load is set for a load and not set for an unload.
 	Load  bool
 	Model string
-	// Adapter is empty for the model itself.
+	// Adapter is empty if the order is for the model itself.
 	Adapter string
-	// Expected is the number of orders that the endpoint must have accepted; an
-	// order that is carried out late fails instead of undoing a newer one.
+	// Expected is the number of orders that the endpoint must have accepted so far. It
+	// keeps a delayed order from undoing a newer one.
 	Expected int64
 	Holder   string
 	Token    int64
 }
 
-// Result is an endpoint's answer to an order.
+// Result is an endpoint's response to an order.
 type Result int
 
-// The results.
+// The results of an order.
 const (
-	// Accepted orders are being carried out.
+	// Accepted means that the endpoint executes the order.
 	Accepted Result = iota
-	// Done orders needed nothing more.
+	// Done means that the endpoint was already in the requested state.
 	Done
-	// Conflict means another order under way, or another sequence.
+	// Conflict means that another order is in progress or that Expected does not match.
 	Conflict
 	// Fenced means that the endpoint has seen a newer token.
 	Fenced
-	// Gone means that another endpoint has the address.
+	// Gone means that the address belongs to another endpoint.
 	Gone
-	// Invalid orders are refused for what they say.
+	// Invalid means that the endpoint rejected the order as malformed.
 	Invalid
 )
 
@@ -45,24 +45,25 @@
 	return [...]string{"accepted", "done", "conflict", "fenced", "gone", "invalid"}[r]
 }
 
-// ErrNoAnswer means that an order may have been accepted, or may be later.
-var ErrNoAnswer = errors.New("no answer to an order")
+// ErrNoAnswer means that it is unknown whether the endpoint has accepted or will accept an
+// order.
+var ErrNoAnswer = errors.New("no response to order")
 
 // ErrUnreachable means that no connection to the endpoint could be made.
 var ErrUnreachable = errors.New("endpoint is not reachable")
 
-// ErrRestarted means that the endpoint has started again under its name: what was asked
-// of its former incarnation has no answer.
-var ErrRestarted = errors.New("endpoint has started again")
+// ErrRestarted means that the endpoint has restarted under the same name, so a request for
+// its former incarnation cannot be answered.
+var ErrRestarted = errors.New("endpoint has restarted")
 
-// ErrLimited means that nothing was sent, since the endpoint states a request rate of which this
-// host has nothing left, or has asked it for a pause.
-var ErrLimited = errors.New("endpoint states a request rate that is used up, or has asked for a pause")
+// ErrLimited means that nothing was sent because the endpoint's rate limit is exhausted at
+// this host or the endpoint has asked it to back off.
+var ErrLimited = errors.New("endpoint rate limit exhausted or backoff requested")
 
-// Orderer reaches endpoints.
+// Orderer sends orders and report requests to endpoints.
 type Orderer interface {
-	// Order sends an order once. An error means that its outcome is unknown.
+	// Order sends an order once. After an error its outcome is unknown.
 	Order(ctx context.Context, e fleet.Endpoint, o Order) (Result, error)
-	// Report asks an endpoint for its state, which lags.
+	// Report requests an endpoint's state, which may lag.
 	Report(ctx context.Context, e fleet.Endpoint) (fleet.Report, error)
 }
--- a/pkg/orders/send.go
+++ b/pkg/orders/send.go
@@ -8,77 +8,78 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// askEvery is after how many refusals an endpoint's report is asked for: by then
-// it tells what was so at the first one.
-const askEvery = int(reportLag/conflictPause) + 1
+// conflictsPerReport is the number of conflicts after which the endpoint's report is
+// requested. Its state is then at least as recent as the first conflict.
+const conflictsPerReport = int(reportLag/conflictRetryDelay) + 1
 
-// order sends an order until the endpoint has accepted it.
-func (g *Controller) order(ctx context.Context, t *track, token int64, o Order) bool {
+// order sends an order until the endpoint has accepted it. It reports whether that
+// succeeded.
+func (c *Controller) order(ctx context.Context, t *endpointTracker, token int64, o Order) bool {
 	t.orderMu.Lock()
 	defer t.orderMu.Unlock()
-	o.Holder = g.Election.self.Host
+	o.Holder = c.Election.self.Host
 	o.Token = token
-	s := sending{order: o}
-	deadline := g.Now().Add(conflictLimit)
+	s := outgoingOrder{order: o}
+	deadline := c.Now().Add(conflictTimeout)
 	state := pending
-	for state == pending && g.Now().Before(deadline) && ctx.Err() == nil && g.Election.Token(g.Now()) == token && g.MayOrder() {
-		state = g.sendOnce(ctx, t, &s)
+	for state == pending && c.Now().Before(deadline) && ctx.Err() == nil && c.Election.Token(c.Now()) == token && c.MayOrder() {
+		state = c.sendOnce(ctx, t, &s)
 	}
 	if state != accepted && s.unanswered {
-		t.doubtful(s.order.Expected)
+		t.markUncertain(s.order.Expected)
 	}
 	return state == accepted
 }
 
-// sending is an order on its way.
-type sending struct {
+// outgoingOrder is the state of an order that is being sent.
+type outgoingOrder struct {
 	order Order
-	// conflicts counts the refusals so far; unanswered is set once a copy of the
-	// order may still be carried out.
+	// conflicts counts the conflicts so far. unanswered is set once a sent copy of the
+	// order may still be executed.
 	conflicts  int
 	unanswered bool
 }
 
-// sendOnce sends a copy of an order and takes in what comes of it. An order
-// without an answer may be sent again at once with the same expected sequence: at
-// most one of the copies can be accepted.
-func (g *Controller) sendOnce(ctx context.Context, t *track, s *sending) settlement {
+// sendOnce sends an order once and handles the result. An order without a response may be
+// sent again with the same expected sequence, because the endpoint accepts at most one of
+// the copies.
+func (c *Controller) sendOnce(ctx context.Context, t *endpointTracker, s *outgoingOrder) orderState {
 	t.mu.Lock()
 	s.order.Expected = t.sequence
 	e := t.endpoint
-	t.ordered = g.Now()
+	t.lastOrder = c.Now()
 	t.mu.Unlock()
 	o := s.order
-	result, err := g.send(ctx, e, o)
-	g.Log.Info("order", "endpoint", e.ID, "load", o.Load, "model", o.Model, "adapter", o.Adapter, "expected", o.Expected, "token", o.Token, "result", outcome(result, err))
+	result, err := c.send(ctx, e, o)
+	c.Log.Info("order attempted", "endpoint", e.ID, "load", o.Load, "model", o.Model, "adapter", o.Adapter, "expected", o.Expected, "token", o.Token, "result", outcome(result, err))
 	switch {
 	case errors.Is(err, ErrUnreachable):
-		t.markUnreachable(g.Now())
-		return unknown
+		t.markUnreachable(c.Now())
+		return abandoned
 	case errors.Is(err, ErrLimited):
-		return unknown
+		return abandoned
 	case err != nil:
 		s.unanswered = true
-		g.strays.note(g.Now(), e.ID, o, g.weightsMB(e.Service, o.Model))
-		wait.For(ctx, conflictPause)
+		c.unansweredLoads.add(c.Now(), e.ID, o, c.weightsMB(e.Service, o.Model))
+		wait.For(ctx, conflictRetryDelay)
 		return pending
 	case result == Done && s.unanswered && o.Adapter == "":
-		return g.carriedOut(ctx, t, e, o)
+		return c.verifyOrder(ctx, t, e, o)
 	case result == Accepted || result == Done:
 		t.advance(result, o)
 		return accepted
 	case result == Conflict:
 		s.conflicts++
-		return g.conflict(ctx, t, e, s)
+		return c.handleConflict(ctx, t, e, s)
 	case result == Fenced:
-		g.Log.Warn("claim lost: an endpoint has seen a newer token", "endpoint", e.ID, "token", o.Token)
-		g.Election.Lost(o.Token)
+		c.Log.Warn("claim lost: endpoint has seen a newer token", "endpoint", e.ID, "token", o.Token)
+		c.Election.Lost(o.Token)
 	}
-	return unknown
+	return abandoned
 }
 
-// advance counts an order that the endpoint has accepted.
-func (t *track) advance(r Result, o Order) {
+// advance updates the sequence after an order that the endpoint has accepted.
+func (t *endpointTracker) advance(r Result, o Order) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r == Accepted || o.Adapter != "" {
@@ -86,12 +87,12 @@
 	}
 }
 
-// doubtful notes that an order was given up that may still be carried out: it
-// could pass for a later one with the same expected sequence.
-func (t *track) doubtful(expected int64) {
+// markUncertain records that an order was abandoned that may still be executed. It could be
+// mistaken for a later one with the same expected sequence.
+func (t *endpointTracker) markUncertain(expected int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.doubt = expected
+	t.uncertain = expected
 }
 
 func outcome(r Result, err error) string {
@@ -101,65 +102,65 @@
 	return r.String()
 }
 
-func (g *Controller) send(ctx context.Context, e fleet.Endpoint, o Order) (Result, error) {
+func (c *Controller) send(ctx context.Context, e fleet.Endpoint, o Order) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return g.Orderer.Order(ctx, e, o)
+	return c.Orderer.Order(ctx, e, o)
 }
 
-// carriedOut takes in the sequence after an order that a repeat found done.
-func (g *Controller) carriedOut(ctx context.Context, t *track, e fleet.Endpoint, o Order) settlement {
+// verifyOrder checks the endpoint's report after a repeated order found its work done.
+func (c *Controller) verifyOrder(ctx context.Context, t *endpointTracker, e fleet.Endpoint, o Order) orderState {
 	if !wait.For(ctx, reportLag) {
-		return unknown
+		return abandoned
 	}
-	r, err := g.report(ctx, e)
-	if err != nil || !t.caughtUp(r, o) {
-		return unknown
+	r, err := c.report(ctx, e)
+	if err != nil || !t.confirmOrder(r, o) {
+		return abandoned
 	}
 	return accepted
 }
 
-// caughtUp takes in a report after an order without an answer, and tells whether
-// it shows that just this order was accepted.
-func (t *track) caughtUp(r fleet.Report, o Order) bool {
+// confirmOrder updates the sequence from a report after an order without a response. It
+// reports whether the report shows that exactly this order was accepted.
+func (t *endpointTracker) confirmOrder(r fleet.Report, o Order) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r.Sequence != o.Expected+1 || t.doubt == o.Expected {
+	if r.Sequence != o.Expected+1 || t.uncertain == o.Expected {
 		return false
 	}
 	t.sequence = r.Sequence
 	return true
 }
 
-// settlement is what a copy of an order has come to.
-type settlement int
+// orderState is the state of an order after an attempt to send it.
+type orderState int
 
 const (
-	// pending orders may be sent again.
-	pending settlement = iota
-	// accepted orders are being carried out, or an earlier copy of them is.
+	// pending means that the order may be sent again.
+	pending orderState = iota
+	// accepted means that the endpoint executes the order or an earlier copy of it.
 	accepted
-	// unknown ends the order: the endpoint has accepted orders that are not known
-	// here, so that what was believed of its memory when the order was decided no
-	// longer holds; or it is not reachable, or has refused the order for good.
-	unknown
+	// abandoned means that the order is given up: the endpoint has accepted orders that are
+	// not known here, so the decision may no longer hold, or it is unreachable or has
+	// rejected the order.
+	abandoned
 )
 
-// conflict waits for another order to end, and asks the endpoint now and then
-// whether the order may be sent again.
-func (g *Controller) conflict(ctx context.Context, t *track, e fleet.Endpoint, s *sending) settlement {
-	if s.conflicts%askEvery == 0 {
-		r, err := g.report(ctx, e)
+// handleConflict waits for another order to end. After some conflicts it requests the
+// endpoint's report to decide whether the order may be sent again.
+func (c *Controller) handleConflict(ctx context.Context, t *endpointTracker, e fleet.Endpoint, s *outgoingOrder) orderState {
+	if s.conflicts%conflictsPerReport == 0 {
+		r, err := c.report(ctx, e)
 		switch {
 		case err != nil || r.Sequence == s.order.Expected:
-		case s.unanswered && t.caughtUp(r, s.order):
+		case s.unanswered && t.confirmOrder(r, s.order):
 			return accepted
-		case s.conflicts > askEvery || r.Sequence > s.order.Expected:
-			return unknown
+		case s.conflicts > conflictsPerReport || r.Sequence > s.order.Expected:
+			return abandoned
 		}
 	}
-	if !wait.For(ctx, conflictPause) {
-		return unknown
+	if !wait.For(ctx, conflictRetryDelay) {
+		return abandoned
 	}
 	return pending
 }
--- a/pkg/orders/swap.go
+++ b/pkg/orders/swap.go
@@ -10,13 +10,13 @@
 	"github.com/tealvane/tealvane/pkg/residency"
 )
 
-// carryOut unloads what leaves and loads the new model; load is set if it comes from the
-// weight store.
-func (g *Controller) carryOut(ctx context.Context, t *track, token int64, engine *fleet.Engine, s residency.Swap, load *storeLoad) {
-	start := g.Now()
+// executeSwap unloads the evicted models and loads the new one. load is nil unless it comes
+// from the weight store.
+func (c *Controller) executeSwap(ctx context.Context, t *endpointTracker, token int64, engine *fleet.Engine, s residency.Swap, load *storeLoad) {
+	start := c.Now()
 	ok := true
 	for _, v := range s.Evict {
-		if ok = ok && g.order(ctx, t, token, Order{Model: v}) && wait.For(ctx, unloadTime); !ok {
+		if ok = ok && c.order(ctx, t, token, Order{Model: v}) && wait.For(ctx, unloadTime); !ok {
 			break
 		}
 		t.mu.Lock()
@@ -24,69 +24,68 @@
 		t.mu.Unlock()
 	}
 	m := engine.Models[s.Load]
-	ok = ok && g.fits(t, engine, m) && g.order(ctx, t, token, Order{Load: true, Model: s.Load})
-	now := g.Now()
+	ok = ok && c.fits(t, engine, m) && c.order(ctx, t, token, Order{Load: true, Model: s.Load})
+	now := c.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.working = false
-	t.coming = ""
+	t.busy = false
+	t.incoming = ""
 	t.changed = true
 	if !ok {
-		g.store.abandon(load)
-		t.known = false
-		t.pause = now.Add(failurePause)
+		c.storeLimit.abandon(load)
+		t.synced = false
+		t.retryAt = now.Add(failureBackoff)
 		for _, r := range t.models {
-			r.leaving = false
+			r.unloading = false
 		}
 		return
 	}
 	readyAt := now.Add(residency.LoadTime(m, s.From) + loadMargin)
-	r := &resident{readyAt: readyAt, since: readyAt, unsure: s.From == residency.InStore, adapters: map[string]*adapter{}}
+	r := &resident{readyAt: readyAt, since: readyAt, unconfirmed: s.From == residency.InStore, adapters: map[string]*adapter{}}
 	t.models[s.Load] = r
 	t.busyUntil = readyAt
 	t.copies[s.Load] = residency.InMemory
-	g.Log.Info("model is loading", "endpoint", t.endpoint.ID, "model", s.Load, "evicted", s.Evict, "from", s.From.String(), "ordered_in_ms", now.Sub(start).Milliseconds(), "token", token)
-	g.work.Go(func() {
-		if g.confirm(ctx, t, s.Load, r) {
-			g.store.done(g.Now().Add(-reportLag), load)
+	c.Log.Info("model load started", "endpoint", t.endpoint.ID, "model", s.Load, "evicted", s.Evict, "from", s.From.String(), "ordered_in_ms", now.Sub(start).Milliseconds(), "token", token)
+	c.tasks.Go(func() {
+		if c.awaitLoad(ctx, t, s.Load, r) {
+			c.storeLimit.finish(c.Now().Add(-reportLag), load)
 		} else {
-			g.store.abandon(load)
+			c.storeLimit.abandon(load)
 		}
 	})
 }
 
-// confirm asks the endpoint whether a load has ended, and tells whether it has. Loads from the weight
-// store take longer while others run, and a copy that was believed to be near
-// may be gone; requests sent too early would be rejected.
-func (g *Controller) confirm(ctx context.Context, t *track, model string, r *resident) bool {
+// awaitLoad polls the endpoint until a load has ended and reports whether it succeeded.
+// Loads may take longer than expected, and requests that are sent too early are rejected.
+func (c *Controller) awaitLoad(ctx context.Context, t *endpointTracker, model string, r *resident) bool {
 	for {
 		t.mu.Lock()
-		due := r.readyAt.Sub(g.Now())
-		if !r.unsure {
+		due := r.readyAt.Sub(c.Now())
+		if !r.unconfirmed {
 			due += reportLag
 		}
 		t.mu.Unlock()
-		if !wait.For(ctx, max(due, confirmPause)) {
+		if !wait.For(ctx, max(due, loadPollInterval)) {
 			return false
 		}
 		t.mu.Lock()
-		current := t.models[model] == r && !r.leaving
+		current := t.models[model] == r && !r.unloading
 		e := t.endpoint
 		t.mu.Unlock()
-		if !current || g.Election.Held() == 0 {
+		if !current || c.Election.Held() == 0 {
 			return false
 		}
-		report, err := g.report(ctx, e)
+		report, err := c.report(ctx, e)
 		if err != nil {
-			// The survey asks the endpoint anew; a model left unsure would hold its
-			// memory and serve nobody.
-			g.Log.Info("load is not confirmed", "endpoint", e.ID, "model", model, "error", err.Error())
+			// requestReports queries the endpoint again. A model that stays unconfirmed
+			// would hold memory without serving requests.
+			c.Log.Info("model load not confirmed; requesting a new report", "endpoint", e.ID, "model", model, "error", err.Error())
 			t.mu.Lock()
-			t.known = false
+			t.synced = false
 			t.mu.Unlock()
 			return false
 		}
-		if t.confirmed(g.Now(), model, r, report) {
+		if t.applyLoadReport(c.Now(), model, r, report) {
 			return holds(report, model)
 		}
 	}
@@ -96,20 +95,21 @@
 	return slices.ContainsFunc(r.Holds, func(h fleet.Held) bool { return h.Model == model })
 }
 
-func (g *Controller) report(ctx context.Context, e fleet.Endpoint) (fleet.Report, error) {
+func (c *Controller) report(ctx context.Context, e fleet.Endpoint) (fleet.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return g.Orderer.Report(ctx, e)
+	return c.Orderer.Report(ctx, e)
 }
 
-// confirmed takes in a report on a load and tells whether the load has ended.
-func (t *track) confirmed(now time.Time, model string, r *resident, report fleet.Report) bool {
+// applyLoadReport updates a loading model from a report and reports whether the load has
+// ended.
+func (t *endpointTracker) applyLoadReport(now time.Time, model string, r *resident, report fleet.Report) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.changed = true
 	if holds(report, model) {
-		if r.unsure {
-			r.unsure = false
+		if r.unconfirmed {
+			r.unconfirmed = false
 			r.readyAt = now
 			r.since = now
 			t.busyUntil = now
@@ -117,25 +117,25 @@
 		return true
 	}
 	if !report.Busy && now.Sub(r.readyAt) > 2*reportLag {
-		// The load has failed or was undone; the endpoint is asked anew.
-		t.known = false
+		// The load has failed or was undone.
+		t.synced = false
 		return true
 	}
-	r.unsure = true
-	t.busyUntil = now.Add(confirmPause)
+	r.unconfirmed = true
+	t.busyUntil = now.Add(loadPollInterval)
 	return false
 }
 
-// fits checks a load once more where it is ordered: an endpoint that is told to
-// hold more than its memory crashes with all its requests.
-func (g *Controller) fits(t *track, engine *fleet.Engine, m fleet.Model) bool {
-	room := engine.WeightsMB - g.strayRoom(g.Now(), t)
+// fits reports whether a model fits the endpoint's memory, checked again just before the
+// load order. An endpoint that exceeds its memory crashes.
+func (c *Controller) fits(t *endpointTracker, engine *fleet.Engine, m fleet.Model) bool {
+	capacity := engine.WeightsMB - c.reservedMB(c.Now(), t)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sum := m.WeightsMB
+	used := m.WeightsMB
 	for name, r := range t.models {
 		held := engine.Models[name]
-		sum += held.WeightsMB + float64(len(r.adapters))*held.AdapterMB
+		used += held.WeightsMB + float64(len(r.adapters))*held.AdapterMB
 	}
-	return sum <= room
+	return used <= capacity
 }
