--- a/pkg/pool/bench_test.go
+++ b/pkg/pool/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-// ownedPool returns an owner's controller and fold for a pool with as many
-// endpoints, and with models of which a third is loaded.
+// ownedPool returns the owner's controller and replicated state for a pool in which every
+// model has one loaded replica.
 func ownedPool(b *testing.B, endpoints, models int) (*pool.Controller, *state.State) {
 	b.Helper()
 	st := state.New()
@@ -56,7 +56,7 @@
 	return c, st
 }
 
-// BenchmarkStep measures one decision of an owner by the size of its pool.
+// BenchmarkStep measures one decision of an owner for different pool sizes.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range []struct{ endpoints, models int }{{10, 10}, {25, 100}, {100, 100}, {100, 400}} {
 		b.Run(fmt.Sprintf("endpoints=%d/models=%d", size.endpoints, size.models), func(b *testing.B) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// BenchmarkUsageReport measures the size of what a host reports of a model.
+// BenchmarkUsageReport measures the size of a host's usage report per model.
 func BenchmarkUsageReport(b *testing.B) {
 	list := make([]pool.Usage, 100)
 	for i := range list {
--- a/pkg/pool/controller.go
+++ b/pkg/pool/controller.go
@@ -1,9 +1,9 @@
-// Package pool is the aggregate of one pool's owner. It turns demand into
-// plans for the log and into orders for endpoints.
+// Package pool contains the controller of a pool's owner. It turns demand into plans for
+// the log and orders for endpoints.
 //
-// A Controller does no I/O. The host feeds it messages, carries out the
-// effects of Step and reports their results. Every host has a controller for
-// every pool; those that do not own the pool have no effects.
+// A Controller does no I/O. The host passes messages to it, executes the effects that Step
+// returns and reports their results. Every host has a controller for every pool.
+// Controllers that do not own their pool only report the end of their former orders.
 package pool
 
 import (
@@ -20,49 +20,51 @@
 )
 
 const (
-	// usageTTL is how long the report of a silent host counts. It exceeds a few
-	// reporting periods, so that one lost report hides no waiting request.
+	// usageTTL is how long a host's last usage report counts. It exceeds several reporting
+	// periods, so that a lost report does not hide waiting requests.
 	usageTTL = 3 * time.Second
-	// retryDelay separates two attempts of a failed order.
+	// retryDelay is the delay before a failed order is sent again.
 	retryDelay = 500 * time.Millisecond
-	// maxLoadAttempts bounds the loads of one replica; then it is placed anew.
+	// maxLoadAttempts is the number of load attempts after which a replica is retired, so
+	// that a new one is placed.
 	maxLoadAttempts = 3
-	// recordRetry separates two attempts to append a record whose loss is harmless.
-	recordRetry = time.Second
-	// maxDecisions bounds one plan.
+	// recordRetryInterval is the interval between attempts to append a record that may be
+	// lost.
+	recordRetryInterval = time.Second
+	// maxDecisions is the maximum number of decisions in a plan.
 	maxDecisions = 256
 )
 
-// Config is the fixed part of a controller.
+// Config is the configuration of a controller.
 type Config struct {
 	Pool string
 	Self record.HostRef
-	// StoreConcurrent and StorePerSecond are this pool's share of the weight store.
+	// StoreConcurrent and StorePerSecond limit this pool's loads from the weight store.
 	StoreConcurrent int
 	StorePerSecond  float64
-	// NewReplicaID returns an ID that was never used.
+	// NewReplicaID returns a unique ID.
 	NewReplicaID func() record.ReplicaID
 }
 
-// Controller owns one pool while the fold says so. It is not safe for
-// concurrent use.
+// Controller makes the decisions for a pool while this host owns it according to the
+// replicated state. It is not safe for concurrent use.
 type Controller struct {
-	cfg       Config
-	observed  map[string]Observation
-	haveList  bool
-	usage     map[usageKey]usageEntry
-	lastUsed  map[modelKey]time.Time
-	gaps      map[modelKey]*keepalive.Gaps
-	plans     map[modelKey]keepalive.Plan
-	orders    map[orderKey]*orderState
-	store     *rate.Limiter
-	epoch     record.Offset
-	planning  bool
-	confirmed map[record.ReplicaID]bool
-	loaded    map[record.ReplicaID]bool
-	successor *record.HostRef
-	// recordAt is when Quiesced or Handover may be appended again.
-	recordAt time.Time
+	cfg             Config
+	observed        map[string]Observation
+	hasObservations bool
+	usage           map[usageKey]usageEntry
+	lastUsed        map[modelKey]time.Time
+	gaps            map[modelKey]*keepalive.Gaps
+	plans           map[modelKey]keepalive.Plan
+	orders          map[orderKey]*orderState
+	store           *rate.Limiter
+	epoch           record.Offset
+	planPending     bool
+	unloaded        map[record.ReplicaID]bool
+	loaded          map[record.ReplicaID]bool
+	successor       *record.HostRef
+	// nextRecordAt is the earliest time at which Quiesced or Handover is appended again.
+	nextRecordAt time.Time
 }
 
 type modelKey struct{ customer, model string }
@@ -77,7 +79,7 @@
 	at time.Time
 }
 
-// orderKey serializes the orders for each replica.
+// orderKey identifies a replica on an endpoint. At most one order per key is in progress.
 type orderKey struct {
 	endpoint string
 	replica  record.ReplicaID
@@ -90,7 +92,7 @@
 	retryAt  time.Time
 }
 
-// NewController returns a controller for one pool.
+// NewController returns a controller for a pool.
 func NewController(cfg Config) *Controller {
 	c := &Controller{
 		cfg:      cfg,
@@ -102,20 +104,20 @@
 		orders:   map[orderKey]*orderState{},
 		store:    rate.NewLimiter(rate.Limit(cfg.StorePerSecond), max(1, cfg.StoreConcurrent)),
 	}
-	c.forget()
+	c.reset()
 	return c
 }
 
-// Observe replaces what is known of the pool's endpoints.
+// Observe replaces the observations of the pool's endpoints.
 func (c *Controller) Observe(list []Observation) {
-	c.haveList = true
+	c.hasObservations = true
 	c.observed = make(map[string]Observation, len(list))
 	for _, o := range list {
 		c.observed[o.Endpoint] = o
 	}
 }
 
-// Report takes in one host's use of the pool's models.
+// Report records a host's usage of the pool's models.
 func (c *Controller) Report(now time.Time, host string, list []Usage) {
 	for _, u := range list {
 		key := modelKey{u.Customer, u.Model}
@@ -125,18 +127,18 @@
 			used = now
 		}
 		if used.After(c.lastUsed[key]) {
-			c.noteGap(key, used)
+			c.recordGap(key, used)
 			c.lastUsed[key] = used
 		}
 	}
 }
 
-// minGap is the shortest gap that is noted; shorter ones are the distance
-// between two reports of the same use.
+// minGap is the shortest gap that is recorded. Shorter gaps lie between two reports of the
+// same use.
 const minGap = time.Second
 
-// noteGap learns from the time between two uses of a model.
-func (c *Controller) noteGap(key modelKey, used time.Time) {
+// recordGap records the time between two uses of a model.
+func (c *Controller) recordGap(key modelKey, used time.Time) {
 	last, known := c.lastUsed[key]
 	gap := used.Sub(last)
 	if !known || gap < minGap {
@@ -149,9 +151,9 @@
 	delete(c.plans, key)
 }
 
-// keepPlan says how long a model stays loaded, and when it is loaded ahead.
-// Without weights in the contract its keep-alive counts.
-func (c *Controller) keepPlan(key modelKey, m state.PoolModel) keepalive.Plan {
+// keepAlivePlan returns how long an idle model stays loaded and when it is loaded in
+// advance. If the contract has no weights, its keep-alive applies.
+func (c *Controller) keepAlivePlan(key modelKey, m state.PoolModel) keepalive.Plan {
 	gaps := c.gaps[key]
 	if gaps == nil || m.Weights == (contract.Weights{}) {
 		return keepalive.Plan{Keep: m.KeepAlive}
@@ -169,16 +171,16 @@
 	return plan
 }
 
-// HandOver stops new work; the pool passes to the successor as soon as no
-// order is under way.
+// HandOver stops new decisions and transfers the pool to another host once no order is in
+// progress.
 func (c *Controller) HandOver(to record.HostRef) { c.successor = &to }
 
-// Busy tells whether an order or a plan is under way.
-func (c *Controller) Busy() bool { return c.planning || c.pendingOrders("") > 0 }
+// Busy reports whether an order or a plan is in progress.
+func (c *Controller) Busy() bool { return c.planPending || c.pendingOrders("") > 0 }
 
-// PlanDone reports that the plan in flight is settled or given up. Given up
-// is safe: of two plans with the same sequence number one is void.
-func (c *Controller) PlanDone() { c.planning = false }
+// PlanDone reports that the last plan was applied or abandoned. Abandoning is safe, because
+// of two plans with the same sequence number only one is applied.
+func (c *Controller) PlanDone() { c.planPending = false }
 
 // OrderDone reports the result of an order.
 func (c *Controller) OrderDone(now time.Time, o Order, result OrderResult) {
@@ -202,37 +204,37 @@
 	case OrderLoad:
 		c.loaded[o.Replica] = true
 	case OrderUnload:
-		c.confirmed[o.Replica] = true
+		c.unloaded[o.Replica] = true
 	}
 }
 
-// Step returns what to do now, by one copy of the pool from this host's fold.
+// Step returns the effects to execute now, based on this host's replicated state.
 func (c *Controller) Step(now time.Time, st *state.State) []Effect {
 	p := st.Pools.Get(c.cfg.Pool)
 	if p.Epoch != c.epoch {
-		c.forget()
+		c.reset()
 		c.epoch = p.Epoch
 	}
-	quiesced := c.stepFormer(now, p)
+	quiesced := c.quiesce(now, p)
 	if p.Owner != c.cfg.Self {
 		return quiesced
 	}
 	if c.successor != nil {
-		return append(quiesced, c.stepHandover(now, p)...)
+		return append(quiesced, c.transfer(now, p)...)
 	}
-	if !c.haveList {
+	if !c.hasObservations {
 		return quiesced
 	}
 	c.prune(now, p)
 	s := &step{c: c, now: now, pool: p, models: map[modelKey]state.PoolModel{}}
 	for _, m := range st.Contracts.Models(c.cfg.Pool) {
 		s.models[modelKey{m.Customer, m.Name}] = m
-		s.order = append(s.order, m)
+		s.modelList = append(s.modelList, m)
 	}
 	return append(quiesced, s.run()...)
 }
 
-// prune drops old reports and the order state of replicas that are gone.
+// prune drops expired usage reports and the order state of replicas that no longer exist.
 func (c *Controller) prune(now time.Time, p state.Pool) {
 	maps.DeleteFunc(c.usage, func(_ usageKey, u usageEntry) bool { return now.Sub(u.at) > usageTTL })
 	maps.DeleteFunc(c.orders, func(key orderKey, s *orderState) bool {
@@ -241,26 +243,26 @@
 	})
 }
 
-// forget drops what was learned as owner of the last epoch. Pending orders
-// stay, because they may still take effect. The endpoints are observed anew,
-// since what a former owner loaded may be missing from an old observation.
-func (c *Controller) forget() {
-	c.confirmed = map[record.ReplicaID]bool{}
+// reset drops the state of the former epoch. Pending orders are kept, because they may
+// still take effect. Observations are dropped, because they may not include replicas that a
+// former owner loaded.
+func (c *Controller) reset() {
+	c.unloaded = map[record.ReplicaID]bool{}
 	c.loaded = map[record.ReplicaID]bool{}
-	c.haveList = false
-	c.recordAt = time.Time{}
+	c.hasObservations = false
+	c.nextRecordAt = time.Time{}
 	maps.DeleteFunc(c.orders, func(_ orderKey, s *orderState) bool { return !s.pending })
 }
 
-// stepFormer states that this host sends nothing more from epochs that it
-// lost, once its last order of them has ended. Until then the capacity of
-// retired replicas on endpoints without fencing stays held.
-func (c *Controller) stepFormer(now time.Time, p state.Pool) []Effect {
+// quiesce records that this host sends no more orders of former epochs, once the last of
+// them has ended. Until then the memory of retired replicas on endpoints without fencing
+// stays reserved.
+func (c *Controller) quiesce(now time.Time, p state.Pool) []Effect {
 	former := slices.ContainsFunc(p.Former, func(f state.Former) bool { return f.Owner == c.cfg.Self })
-	if !former || c.pendingBefore(p.Epoch) || now.Before(c.recordAt) {
+	if !former || c.pendingBefore(p.Epoch) || now.Before(c.nextRecordAt) {
 		return nil
 	}
-	c.recordAt = now.Add(recordRetry)
+	c.nextRecordAt = now.Add(recordRetryInterval)
 	return []Effect{{Quiesced: &record.Quiesced{Pool: p.Name, Epoch: p.Epoch, Owner: c.cfg.Self}}}
 }
 
@@ -273,15 +275,14 @@
 	return false
 }
 
-// stepHandover freezes the pool and then transfers it: the record is the end
-// of this host's decisions, and the fold up to it is the final state. It is
-// not sent while an order is under way, since the fold takes a handed over
-// pool to have no order of the former owner left.
-func (c *Controller) stepHandover(now time.Time, p state.Pool) []Effect {
-	if c.Busy() || now.Before(c.recordAt) || *c.successor == c.cfg.Self {
+// transfer hands the pool over to the successor. It waits until no order is in progress,
+// because the replicated state assumes that a pool that was handed over has no orders of
+// the former owner.
+func (c *Controller) transfer(now time.Time, p state.Pool) []Effect {
+	if c.Busy() || now.Before(c.nextRecordAt) || *c.successor == c.cfg.Self {
 		return nil
 	}
-	c.recordAt = now.Add(recordRetry)
+	c.nextRecordAt = now.Add(recordRetryInterval)
 	return []Effect{{Handover: &record.Handover{Pool: p.Name, Epoch: p.Epoch, To: *c.successor}}}
 }
 
@@ -295,7 +296,7 @@
 	return n
 }
 
-// demand sums the fresh reports of all hosts by model.
+// demand sums the usage reports of all hosts by model.
 func (c *Controller) demand() map[modelKey]placement.Model {
 	sums := map[modelKey]placement.Model{}
 	for key, u := range c.usage {
@@ -311,12 +312,12 @@
 	return sums
 }
 
-// placementModel joins a model's limits with its demand.
+// placementModel combines a model's limits with its demand.
 func (c *Controller) placementModel(now time.Time, m state.PoolModel, demand placement.Model) placement.Model {
 	key := modelKey{m.Customer, m.Name}
 	if _, known := c.lastUsed[key]; !known {
-		// A new owner knows no use yet; a replica then counts as just used, or
-		// every takeover would unload the whole pool.
+		// A new owner has not seen the model used. Its replicas count as just used, so that
+		// a change of owner does not unload them.
 		c.lastUsed[key] = now
 	}
 	demand.Customer = m.Customer
@@ -326,7 +327,7 @@
 	demand.Max = m.MaxReplicas
 	demand.Concurrency = m.Concurrency
 	demand.LastUsed = c.lastUsed[key]
-	plan := c.keepPlan(key, m)
+	plan := c.keepAlivePlan(key, m)
 	demand.KeepAlive = plan.Keep
 	demand.Ahead = plan.Ahead(now.Sub(demand.LastUsed))
 	if m.Kind == contract.Adapter {
--- a/pkg/pool/messages.go
+++ b/pkg/pool/messages.go
@@ -6,23 +6,23 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// OrderKind says what an order asks of an endpoint.
+// OrderKind is the kind of an order.
 type OrderKind int
 
 // The kinds of orders.
 const (
-	// OrderLoad loads a replica; it is idempotent per replica ID.
+	// OrderLoad loads a replica. It is idempotent per replica ID.
 	OrderLoad OrderKind = iota
-	// OrderUnload unloads a replica; it succeeds when the replica is not loaded.
+	// OrderUnload unloads a replica. It also succeeds if the replica is not loaded.
 	OrderUnload
 )
 
-// String names the kind.
+// String implements fmt.Stringer.
 func (k OrderKind) String() string {
 	return [...]string{"load", "unload"}[k]
 }
 
-// Order is a command to an endpoint.
+// Order is an order for an endpoint.
 type Order struct {
 	Kind        OrderKind
 	Pool        string
@@ -34,56 +34,56 @@
 	Model       string
 	BaseModel   string
 	MemoryMB    int64
-	// Fence is the fencing token: the offset of the pool's last change that the
-	// sender knew, as owner, when it decided to send.
+	// Fence is the fencing token: the offset of the last change of the pool in the state
+	// that the order was decided on.
 	Fence record.Offset
 }
 
-// OrderResult is the answer to an order.
+// OrderResult is the result of an order.
 type OrderResult int
 
 // The results of an order.
 const (
 	// OrderOK means that the order took effect.
 	OrderOK OrderResult = iota
-	// OrderRefused means that the endpoint answered and did nothing.
+	// OrderRefused means that the endpoint responded and did nothing.
 	OrderRefused
-	// OrderUnknown means that no answer came and the connection has ended.
+	// OrderUnknown means that the connection ended without a response.
 	OrderUnknown
 )
 
-// Observation is what the platform's list and the endpoint itself say of one
-// endpoint.
+// Observation is the state of an endpoint according to the platform's list and the endpoint
+// itself.
 type Observation struct {
 	record.EndpointSeen
-	// Leaving endpoints get no new replica.
+	// Leaving is set if the endpoint must get no new replicas.
 	Leaving bool
-	// Reachable endpoints answered the last probe; Loaded holds their answer.
+	// Reachable is set if the endpoint answered the last probe. Loaded is taken from that
+	// answer.
 	Reachable bool
 	Loaded    []record.ReplicaID
 }
 
-// Usage is one host's use of one model.
+// Usage is a host's usage of a model.
 type Usage struct {
 	Customer string `cbor:"1,keyasint"`
 	Model    string `cbor:"2,keyasint"`
 	Waiting  int    `cbor:"3,keyasint"`
 	Inflight int    `cbor:"4,keyasint"`
-	// Remaining is the time to the earliest deadline of a waiting request.
+	// Remaining is the time until the earliest deadline of a waiting request.
 	Remaining time.Duration `cbor:"5,keyasint"`
 	// Idle is the time since the last request ended.
 	Idle time.Duration `cbor:"6,keyasint"`
 }
 
-// Effect is something the host carries out for a controller. Exactly one
-// field is set.
+// Effect is an action that the host executes for a controller. Exactly one field is set.
 type Effect struct {
-	// Plan is to be appended; PlanDone is called when it is settled.
+	// Plan must be appended. The host calls PlanDone when it is applied or abandoned.
 	Plan *record.Plan
-	// Quiesced is to be appended; its loss is harmless.
+	// Quiesced must be appended. It may be lost, since it is appended again.
 	Quiesced *record.Quiesced
-	// Handover is to be appended; its loss is harmless.
+	// Handover must be appended. It may be lost, since it is appended again.
 	Handover *record.Handover
-	// Order is to be sent; OrderDone is called with its result.
+	// Order must be sent. The host calls OrderDone with its result.
 	Order *Order
 }
--- a/pkg/pool/pool_prop_test.go
+++ b/pkg/pool/pool_prop_test.go
@@ -8,11 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A user sees a model loaded more often than the contract says, or an engine
-// that runs out of accelerator memory. Hosts claim the pool at any time, are
-// paused between decision and order, die, and lose answers of the log and of
-// endpoints; endpoints restart, and half of them ignore fencing tokens. The
-// cause would be an order that carries out a decision no longer counted.
+// Guards against exceeding a contract's replicas or an endpoint's memory by an order whose
+// decision no longer applies. Hosts claim the pool, are paused, crash and lose responses of
+// the log and of endpoints; endpoints restart, and half of them ignore fencing tokens.
 func TestReplicasAndMemoryStayWithinLimits(t *testing.T) {
 	loads := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -21,25 +19,25 @@
 			"round":     func(*rapid.T) { s.round() },
 			"round two": func(*rapid.T) { s.round() },
 			"step":      func(*rapid.T) { s.step() },
-			"fold":      func(*rapid.T) { s.fold() },
-			"append":    func(*rapid.T) { s.landAppend() },
+			"fold":      func(*rapid.T) { s.applyRecords() },
+			"append":    func(*rapid.T) { s.commitAppend() },
 			"settle":    func(*rapid.T) { s.host().ctrl.PlanDone() },
 			"deliver":   func(*rapid.T) { s.deliverOne() },
 			"deliver 2": func(*rapid.T) { s.deliverOne() },
 			"abandon":   func(*rapid.T) { s.abandonOne() },
 			"observe":   func(*rapid.T) { s.observe() },
-			"claim":     func(*rapid.T) { s.rarely(); s.w.claim(s.host()) },
-			"hand over": func(*rapid.T) { s.rarely(); s.host().ctrl.HandOver(s.host().ref) },
-			"kill":      func(*rapid.T) { s.rarely(); s.w.kill(s.index(3, "host"), s.bool("listed as gone")) },
-			"restart":   func(*rapid.T) { s.rarely(); s.w.restart(s.w.endpoints[s.index(3, "endpoint")]) },
-			"contract":  func(*rapid.T) { s.rarely(); s.contract() },
+			"claim":     func(*rapid.T) { s.skipMost(); s.w.claim(s.host()) },
+			"hand over": func(*rapid.T) { s.skipMost(); s.host().ctrl.HandOver(s.host().ref) },
+			"kill":      func(*rapid.T) { s.skipMost(); s.w.kill(s.index(3, "host"), s.bool("listed as gone")) },
+			"restart":   func(*rapid.T) { s.skipMost(); s.w.restart(s.w.endpoints[s.index(3, "endpoint")]) },
+			"contract":  func(*rapid.T) { s.skipMost(); s.contract() },
 		})
 		loads += s.w.loads
 	})
 	t.Logf("%d loads", loads)
 }
 
-// schedule draws what happens next.
+// schedule draws the next action.
 type schedule struct {
 	w *world
 	t *rapid.T
@@ -56,8 +54,8 @@
 
 func (s schedule) host() *host { return s.w.hosts[s.index(len(s.w.hosts), "host")] }
 
-// rarely skips most calls of an action that sets everything back.
-func (s schedule) rarely() {
+// skipMost skips most calls of a disruptive action.
+func (s schedule) skipMost() {
 	if s.index(3, "rarely") > 0 {
 		s.t.Skip("not this time")
 	}
@@ -68,11 +66,11 @@
 	return map[string]int{"a": some.Draw(s.t, "waiting a"), "b": some.Draw(s.t, "waiting b")}
 }
 
-// round lets the owner, or a host that takes the pool, work for a while, so
-// that schedules get far enough for failures to matter.
+// round runs the owner, or a host that claims the pool, for several steps, so that
+// schedules reach states in which failures matter.
 func (s schedule) round() {
 	h := s.host()
-	s.w.fold(h, len(s.w.log))
+	s.w.applyRecords(h, len(s.w.log))
 	owner, _ := h.st.Pools.Owner(testPool)
 	i := slices.IndexFunc(s.w.hosts, func(h *host) bool { return h.ref == owner })
 	if i >= 0 && s.index(5, "same owner") > 0 {
@@ -88,13 +86,13 @@
 	s.w.step(s.host())
 }
 
-func (s schedule) fold() { s.w.fold(s.host(), s.index(20, "records")+1) }
+func (s schedule) applyRecords() { s.w.applyRecords(s.host(), s.index(20, "records")+1) }
 
-// landAppend lands any append under way, perhaps for the second time.
-func (s schedule) landAppend() {
+// commitAppend commits a pending append, possibly for a second time.
+func (s schedule) commitAppend() {
 	a := s.w.appends[s.index(len(s.w.appends), "append")]
 	s.w.log = append(s.w.log, a.data)
-	a.landed = true
+	a.committed = true
 }
 
 func (s schedule) order() *orderMsg { return s.w.orders[s.index(len(s.w.orders), "order")] }
--- a/pkg/pool/step.go
+++ b/pkg/pool/step.go
@@ -11,24 +11,24 @@
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-// step is one run of the owner's decisions on one copy of the pool.
+// step makes the owner's decisions for one copy of the pool's state.
 type step struct {
 	c         *Controller
 	now       time.Time
 	pool      state.Pool
 	models    map[modelKey]state.PoolModel
-	order     []state.PoolModel
+	modelList []state.PoolModel
 	decisions []record.Decision
 	effects   []Effect
 }
 
 func (s *step) run() []Effect {
 	s.reconcileEndpoints()
-	s.driveReplicas()
-	s.unloadStrays()
+	s.reconcileReplicas()
+	s.unloadUnknown()
 	s.decidePlacement()
-	if len(s.decisions) > 0 && !s.c.planning {
-		s.c.planning = true
+	if len(s.decisions) > 0 && !s.c.planPending {
+		s.c.planPending = true
 		s.effects = append(s.effects, Effect{Plan: &record.Plan{
 			Pool:      s.pool.Name,
 			Epoch:     s.pool.Epoch,
@@ -39,66 +39,66 @@
 	return s.effects
 }
 
-func (s *step) decide(d record.Decision) { s.decisions = append(s.decisions, d) }
+func (s *step) addDecision(d record.Decision) { s.decisions = append(s.decisions, d) }
 
-// reconcileEndpoints brings the fold up to what was observed.
+// reconcileEndpoints records new, restarted and lost endpoints.
 func (s *step) reconcileEndpoints() {
 	for _, name := range slices.Sorted(maps.Keys(s.c.observed)) {
 		o := s.c.observed[name]
 		known, ok := s.pool.Endpoints[name]
 		if !ok || known.Lost || known.EndpointSeen != o.EndpointSeen {
-			s.register(o)
+			s.registerEndpoint(o)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.pool.Endpoints)) {
 		e := s.pool.Endpoints[name]
 		if _, listed := s.c.observed[name]; !listed && !e.Lost && s.c.pendingOrders(name) == 0 {
-			s.decide(record.Decision{Lost: &record.EndpointLost{Endpoint: name, Incarnation: e.Incarnation}})
+			s.addDecision(record.Decision{Lost: &record.EndpointLost{Endpoint: name, Incarnation: e.Incarnation}})
 		}
 	}
 }
 
-// register records a new or restarted endpoint. It waits for this host's own
-// orders to the former run: one that is still under way could reach the new
-// run after the fold has given its memory to another replica.
-func (s *step) register(o Observation) {
+// registerEndpoint records a new or restarted endpoint. It waits for this host's orders to
+// the former incarnation, because one that is in progress could reach the new incarnation
+// after its memory was assigned to another replica.
+func (s *step) registerEndpoint(o Observation) {
 	if o.Incarnation == "" || s.c.pendingOrders(o.Endpoint) > 0 {
 		return
 	}
 	seen := o.EndpointSeen
-	s.decide(record.Decision{Endpoint: &seen})
+	s.addDecision(record.Decision{Endpoint: &seen})
 }
 
-// driveReplicas sends the orders that the fold's decisions call for, and
-// records their results.
-func (s *step) driveReplicas() {
+// reconcileReplicas sends the orders that the replicas' phases require and records their
+// results.
+func (s *step) reconcileReplicas() {
 	for _, id := range slices.Sorted(maps.Keys(s.pool.Replicas)) {
 		r := s.pool.Replicas[id]
 		if r.Phase != state.Retired && s.c.observed[r.Endpoint].Leaving {
-			s.decide(record.Decision{Retire: &record.Retire{Replica: id}})
+			s.addDecision(record.Decision{Retire: &record.Retire{Replica: id}})
 			continue
 		}
 		switch r.Phase {
 		case state.Placed:
-			s.driveLoad(r)
+			s.reconcileLoad(r)
 		case state.Loaded:
 			s.checkStillLoaded(r)
 		case state.Retired:
-			s.driveUnload(r)
+			s.reconcileUnload(r)
 		}
 	}
 }
 
-func (s *step) driveLoad(r state.Replica) {
+func (s *step) reconcileLoad(r state.Replica) {
 	switch {
 	case s.c.loaded[r.ID]:
-		// A load may take longer than the keep-alive; its replica counts as just
-		// used, or it would be retired before anybody could come back for it.
+		// A load may take longer than the keep-alive. The replica counts as just used, so
+		// that it is not retired before it serves a request.
 		s.c.lastUsed[modelKey{r.Customer, r.Model}] = s.now
-		s.decide(record.Decision{Ready: &record.Ready{Replica: r.ID}})
+		s.addDecision(record.Decision{Ready: &record.Ready{Replica: r.ID}})
 	case s.attempts(r) >= maxLoadAttempts:
-		s.decide(record.Decision{Retire: &record.Retire{Replica: r.ID}})
-	case s.usable(r.Endpoint) && !s.excess(r):
+		s.addDecision(record.Decision{Retire: &record.Retire{Replica: r.ID}})
+	case s.usable(r.Endpoint) && !s.exceedsContract(r):
 		m := s.models[modelKey{r.Customer, r.Model}]
 		s.send(Order{
 			Kind:      OrderLoad,
@@ -111,10 +111,9 @@
 	}
 }
 
-// excess tells whether a contract change since the decision forbids the load;
-// placement then retires the replica. The owner looks again before each order,
-// or a contract lowered between decision and order would be exceeded.
-func (s *step) excess(r state.Replica) bool {
+// exceedsContract reports whether the contract no longer allows the load, because it
+// changed after the decision. Placement then retires the replica.
+func (s *step) exceedsContract(r state.Replica) bool {
 	m, ok := s.models[modelKey{r.Customer, r.Model}]
 	return !ok || s.pool.Count(r.Customer, r.Model) > m.MaxReplicas
 }
@@ -126,9 +125,9 @@
 	return 0
 }
 
-// checkStillLoaded retires a replica that its endpoint no longer lists, for
-// example because the engine evicted it. An observation that is older than the
-// load does not list it either; so the first one that does is waited for.
+// checkStillLoaded retires a replica that its endpoint no longer lists, for example because
+// the endpoint evicted it. Observations made before the load do not list it either, so the
+// first one that lists it is awaited.
 func (s *step) checkStillLoaded(r state.Replica) {
 	o, ok := s.c.observed[r.Endpoint]
 	if !ok || !o.Reachable || o.Incarnation != s.pool.Endpoints[r.Endpoint].Incarnation {
@@ -139,36 +138,37 @@
 		return
 	}
 	if !s.c.loaded[r.ID] {
-		s.decide(record.Decision{Retire: &record.Retire{Replica: r.ID}})
+		s.addDecision(record.Decision{Retire: &record.Retire{Replica: r.ID}})
 	}
 }
 
-func (s *step) driveUnload(r state.Replica) {
+func (s *step) reconcileUnload(r state.Replica) {
 	lost := s.pool.Endpoints[r.Endpoint].Lost
 	pending := s.c.orders[orderKey{r.Endpoint, r.ID}]
 	if pending != nil && pending.pending {
 		return
 	}
 	switch {
-	case lost || s.c.confirmed[r.ID]:
+	case lost || s.c.unloaded[r.ID]:
 		if s.pool.MayFree(r) {
-			s.decide(record.Decision{Free: &record.Free{Replica: r.ID}})
+			s.addDecision(record.Decision{Free: &record.Free{Replica: r.ID}})
 		}
 	case s.usable(r.Endpoint):
 		s.send(Order{Kind: OrderUnload, Endpoint: r.Endpoint, Replica: r.ID, Model: r.Model})
 	}
 }
 
-// usable endpoints are observed in the same incarnation that the fold knows.
+// usable reports whether an endpoint was observed in the incarnation that the replicated
+// state knows.
 func (s *step) usable(endpoint string) bool {
 	e, known := s.pool.Endpoints[endpoint]
 	o, listed := s.c.observed[endpoint]
 	return known && listed && !e.Lost && e.Incarnation == o.Incarnation
 }
 
-// unloadStrays unloads replicas that an endpoint lists and the fold does not
-// know. They come from orders that a former owner sent late.
-func (s *step) unloadStrays() {
+// unloadUnknown unloads replicas that an endpoint lists and the replicated state does not
+// know. They result from delayed orders of a former owner.
+func (s *step) unloadUnknown() {
 	for _, name := range slices.Sorted(maps.Keys(s.c.observed)) {
 		if !s.usable(name) {
 			continue
@@ -201,27 +201,27 @@
 	o.Epoch = s.pool.Epoch
 	o.Addr = e.Addr
 	o.Incarnation = e.Incarnation
-	// The token comes from the same copy as the ownership: read from the fold a
-	// moment later, it could already lie in the epoch of the next owner.
+	// The token is taken from the same copy as the ownership. A newer state could already
+	// belong to the epoch of the next owner.
 	o.Fence = s.pool.Changed
 	s.effects = append(s.effects, Effect{Order: &o})
 }
 
-// decidePlacement asks the placement policy, unless a plan is in flight whose
-// result would change the snapshot.
+// decidePlacement adds placement decisions, unless a plan is in progress that would change
+// their input.
 func (s *step) decidePlacement() {
-	if s.c.planning {
+	if s.c.planPending {
 		return
 	}
 	actions := placement.Decide(s.snapshot())
 	for _, id := range actions.Retires {
-		s.decide(record.Decision{Retire: &record.Retire{Replica: id}})
+		s.addDecision(record.Decision{Retire: &record.Retire{Replica: id}})
 	}
 	for _, p := range actions.Places {
 		if !s.c.store.AllowN(s.now, 1) {
 			return
 		}
-		s.decide(record.Decision{Place: &record.Place{
+		s.addDecision(record.Decision{Place: &record.Place{
 			Replica:  s.c.cfg.NewReplicaID(),
 			Customer: p.Customer,
 			Model:    p.Model,
@@ -237,7 +237,7 @@
 		reserved[r.Endpoint] += r.MemoryMB
 	}
 	demand := s.c.demand()
-	for _, m := range s.order {
+	for _, m := range s.modelList {
 		snap.Models = append(snap.Models, s.c.placementModel(s.now, m, demand[modelKey{m.Customer, m.Name}]))
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.pool.Endpoints)) {
--- a/pkg/pool/world_test.go
+++ b/pkg/pool/world_test.go
@@ -17,16 +17,15 @@
 	capacityMB = 100
 )
 
-// failer is what *testing.T and *rapid.T have in common.
+// failer is the common part of *testing.T and *rapid.T.
 type failer interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// world is a set of hosts, a log and endpoints whose messages wait until they
-// are delivered. Its checks look only at the log's bytes and at what the
-// endpoints really hold.
+// world simulates hosts, a log and endpoints. Messages wait until they are delivered. Its
+// checks use only the log and what the endpoints hold.
 type world struct {
 	t         failer
 	now       time.Time
@@ -38,9 +37,9 @@
 	ids       int
 	loads     int
 	version   uint64
-	// weights stands in all contracts.
+	// weights is added to every contract document.
 	weights string
-	// stale is an old observation of all endpoints.
+	// stale is an earlier observation of all endpoints.
 	stale []pool.Observation
 }
 
@@ -51,15 +50,15 @@
 }
 
 type appendMsg struct {
-	from   *host
-	data   []byte
-	landed bool
+	from      *host
+	data      []byte
+	committed bool
 }
 
 type orderMsg struct {
 	from *host
 	pool.Order
-	// abandoned orders were reported as unknown and may still arrive.
+	// abandoned is set if the order was reported as unknown. It may still arrive.
 	abandoned bool
 }
 
@@ -71,7 +70,7 @@
 	loaded      map[record.ReplicaID]pool.Order
 }
 
-// limits is the contract of the world, by model.
+// limits are the contract's limits by model.
 type limits map[string]modelLimits
 
 type modelLimits struct {
@@ -93,7 +92,7 @@
 	w.publish(limits{"a": {2, 40}, "b": {1, 40}})
 	for range 3 {
 		w.hosts = append(w.hosts, nil)
-		w.boot(len(w.hosts) - 1)
+		w.startHost(len(w.hosts) - 1)
 	}
 	return w
 }
@@ -103,8 +102,8 @@
 	return fmt.Sprintf("%s%04d", prefix, w.ids)
 }
 
-// boot starts a new run of host i.
-func (w *world) boot(i int) {
+// startHost starts a new incarnation of host i.
+func (w *world) startHost(i int) {
 	ref := record.HostRef{Host: fmt.Sprintf("h%d", i), Incarnation: record.Incarnation(w.nextID("i"))}
 	h := &host{ref: ref, st: state.New()}
 	h.ctrl = pool.NewController(pool.Config{
@@ -115,7 +114,7 @@
 		NewReplicaID:    func() record.ReplicaID { return record.ReplicaID(w.nextID("r")) },
 	})
 	w.hosts[i] = h
-	w.land(record.Record{Join: &record.HostJoin{HostRef: ref}})
+	w.commit(record.Record{Join: &record.HostJoin{HostRef: ref}})
 }
 
 func (w *world) encode(r record.Record) []byte {
@@ -127,18 +126,18 @@
 	return data
 }
 
-func (w *world) land(r record.Record) { w.log = append(w.log, w.encode(r)) }
+func (w *world) commit(r record.Record) { w.log = append(w.log, w.encode(r)) }
 
 func (w *world) publish(l limits) {
 	doc := "customer: c\ncredentials: [{sha256: " + fmt.Sprintf("%064d", 0) + "}]\n" + w.weights + "models:\n"
 	for _, m := range []string{"a", "b"} {
 		doc += fmt.Sprintf("- {name: %s, pool: p, max_replicas: %d, weights_mb: %d, keep_alive: 1s}\n", m, l[m].max, l[m].mb)
 	}
-	w.land(record.Record{Contract: &record.Contract{Customer: customer, Base: w.version, Document: []byte(doc)}})
+	w.commit(record.Record{Contract: &record.Contract{Customer: customer, Base: w.version, Document: []byte(doc)}})
 	w.version++
 }
 
-// step lets a host decide; its messages wait.
+// step runs a host's decisions and queues the resulting messages.
 func (w *world) step(h *host) {
 	for _, e := range h.ctrl.Step(w.now, h.st) {
 		if e.Order != nil {
@@ -150,21 +149,21 @@
 	}
 }
 
-// landAll lands the appends of a host and settles its plan.
-func (w *world) landAll(h *host) {
+// commitAll commits all pending appends of a host and completes its plan.
+func (w *world) commitAll(h *host) {
 	for _, a := range w.appends {
-		if a.from == h && !a.landed {
+		if a.from == h && !a.committed {
 			w.log = append(w.log, a.data)
-			a.landed = true
+			a.committed = true
 		}
 	}
-	w.fold(h, len(w.log))
+	w.applyRecords(h, len(w.log))
 	h.ctrl.PlanDone()
-	// Keep a few landed records; delayed copies of them may land again.
+	// Keep some committed records, which may be committed again as delayed copies.
 	w.appends = w.appends[max(0, len(w.appends)-10):]
 }
 
-func (w *world) fold(h *host, n int) {
+func (w *world) applyRecords(h *host, n int) {
 	for ; n > 0; n-- {
 		next := int(h.st.Applied())
 		if next >= len(w.log) {
@@ -176,15 +175,15 @@
 	}
 }
 
-// claim takes the pool; no lease is looked at.
+// claim claims the pool without checking the lease.
 func (w *world) claim(h *host) {
 	_, epoch := h.st.Pools.Owner(testPool)
-	w.land(record.Record{Claim: &record.PoolClaim{Pool: testPool, PrevEpoch: epoch, Owner: h.ref}})
+	w.commit(record.Record{Claim: &record.PoolClaim{Pool: testPool, PrevEpoch: epoch, Owner: h.ref}})
 }
 
-// kill ends a host and starts its next run. Its requests that no endpoint has
-// read are lost with its connections; one that checks tokens may still read them.
-func (w *world) kill(i int, listedAsGone bool) {
+// kill ends a host and starts its next incarnation. Orders that no endpoint has read are
+// lost with its connections. Endpoints that check tokens may still read them.
+func (w *world) kill(i int, recordedAsGone bool) {
 	h := w.hosts[i]
 	w.orders = slices.DeleteFunc(w.orders, func(o *orderMsg) bool {
 		return o.from == h && !w.endpoint(o.Endpoint).fencing
@@ -192,10 +191,10 @@
 	for _, o := range w.orders {
 		o.abandoned = o.abandoned || o.from == h
 	}
-	if listedAsGone {
-		w.land(record.Record{Gone: &record.HostGone{HostRef: h.ref}})
+	if recordedAsGone {
+		w.commit(record.Record{Gone: &record.HostGone{HostRef: h.ref}})
 	}
-	w.boot(i)
+	w.startHost(i)
 }
 
 func (w *world) endpoint(name string) *endpoint {
@@ -203,7 +202,7 @@
 	return w.endpoints[i]
 }
 
-// restart empties an endpoint; it also forgets its fencing token.
+// restart empties an endpoint and resets its fencing token.
 func (w *world) restart(e *endpoint) {
 	w.stale = w.observation()
 	e.incarnation = record.Incarnation(w.nextID("i"))
@@ -233,7 +232,7 @@
 	return list
 }
 
-// demand reports waiting requests of all models to a host.
+// demand reports waiting requests for all models to a host.
 func (w *world) demand(h *host, waiting map[string]int) {
 	var list []pool.Usage
 	for _, model := range []string{"a", "b"} {
@@ -248,16 +247,16 @@
 	h.ctrl.Report(w.now, "x", list)
 }
 
-// work lets a host decide, append and observe for a few rounds. Its orders
-// arrive if deliver is set.
+// work runs a host for several rounds: it observes, decides and appends. Its orders arrive
+// if deliver is set.
 func (w *world) work(h *host, waiting map[string]int, deliver bool) {
 	for range 8 {
 		w.now = w.now.Add(200 * time.Millisecond)
-		w.fold(h, len(w.log))
+		w.applyRecords(h, len(w.log))
 		h.ctrl.Observe(w.observation())
 		w.demand(h, waiting)
 		w.step(h)
-		w.landAll(h)
+		w.commitAll(h)
 		if deliver {
 			w.deliverFrom(h)
 		}
@@ -272,21 +271,22 @@
 	}
 }
 
-// deliver lets an order arrive, and reports its result unless it gets lost.
-func (w *world) deliver(o *orderMsg, answerLost bool) {
+// deliver executes an order and reports its result, or OrderUnknown if the response is
+// lost.
+func (w *world) deliver(o *orderMsg, responseLost bool) {
 	w.orders = slices.DeleteFunc(w.orders, func(x *orderMsg) bool { return x == o })
 	result := w.execute(o.Order)
 	if o.abandoned {
 		return
 	}
-	if answerLost {
+	if responseLost {
 		result = pool.OrderUnknown
 	}
 	o.from.ctrl.OrderDone(w.now, o.Order, result)
 }
 
-// abandon breaks the connection of an order before its answer. An endpoint
-// that checks tokens may read the order later all the same.
+// abandon ends the connection of an order before its response. An endpoint that checks
+// tokens may still read the order later.
 func (w *world) abandon(o *orderMsg) {
 	o.abandoned = true
 	o.from.ctrl.OrderDone(w.now, o.Order, pool.OrderUnknown)
@@ -315,7 +315,7 @@
 	return pool.OrderOK
 }
 
-// checkLoad verifies the promises at the moment in which they can break.
+// checkLoad checks the memory and replica limits after a load.
 func (w *world) checkLoad(e *endpoint, o pool.Order) {
 	w.t.Helper()
 	memory := int64(0)
@@ -323,11 +323,11 @@
 		memory += l.MemoryMB
 	}
 	if memory > capacityMB {
-		w.t.Fatalf("endpoint %s holds %d MB of %d", e.name, memory, capacityMB)
+		w.t.Fatalf("endpoint %s holds %d MB, capacity %d MB", e.name, memory, capacityMB)
 	}
 	count := w.loadedCount(o.Model)
 	if limit := w.limitSince(o); count > limit {
-		w.t.Fatalf("%d replicas of %s are loaded, the contract allows %d", count, o.Model, limit)
+		w.t.Fatalf("%d replicas of %s loaded, contract allows %d", count, o.Model, limit)
 	}
 }
 
@@ -343,8 +343,8 @@
 	return count
 }
 
-// limitSince is the largest limit in force since the replica was decided:
-// lowering a contract drains, so a load that was decided before may end after.
+// limitSince returns the highest replica limit since the replica was placed. A load that
+// was decided before the contract was lowered may end after it.
 func (w *world) limitSince(o pool.Order) int {
 	limit, decided := 0, false
 	for _, data := range w.log {
