--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease decides when a host tries to take a pool. It decides only
-// when somebody tries: who is right is settled by the order of the log.
+// Package lease decides when a host tries to claim a pool. It only decides when to try.
+// Which of several claims is valid follows from their order in the log.
 package lease
 
 import (
@@ -10,69 +10,68 @@
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-// Watcher notes, by the local clock, when the heartbeat of each session was
-// last seen to advance. It is not safe for concurrent use.
+// Watcher tracks, by the local clock, when the heartbeat of each session last advanced. It
+// is not safe for concurrent use.
 type Watcher struct {
-	ttl   time.Duration
-	last  time.Time
-	marks map[record.HostRef]mark
+	ttl          time.Duration
+	lastObserved time.Time
+	heartbeats   map[record.HostRef]heartbeat
 }
 
-type mark struct {
+type heartbeat struct {
 	renewed record.Offset
 	at      time.Time
 	leaving bool
 }
 
-// NewWatcher returns a watcher for which a session lapses when it was not
-// renewed for ttl.
+// NewWatcher returns a watcher whose sessions expire if they are not renewed for ttl.
 func NewWatcher(ttl time.Duration) *Watcher {
-	return &Watcher{ttl: ttl, marks: map[record.HostRef]mark{}}
+	return &Watcher{ttl: ttl, heartbeats: map[record.HostRef]heartbeat{}}
 }
 
-// Observe takes in the sessions of the fold. fresh tells whether the log was
-// readable since the last call. While it is not, nobody can renew; time that
-// passes then counts for no session, or all owners would lapse at its return.
+// Observe records the sessions of the replicated state. fresh is set if the log was
+// readable since the last call. Time during which it was not counts for no session, because
+// no host could renew: otherwise all owners would expire at the end of an outage.
 func (w *Watcher) Observe(now time.Time, sessions []state.Session, fresh bool) {
-	pause := time.Duration(0)
-	if !fresh && !w.last.IsZero() {
-		pause = now.Sub(w.last)
+	outage := time.Duration(0)
+	if !fresh && !w.lastObserved.IsZero() {
+		outage = now.Sub(w.lastObserved)
 	}
-	w.last = now
-	marks := make(map[record.HostRef]mark, len(sessions))
+	w.lastObserved = now
+	heartbeats := make(map[record.HostRef]heartbeat, len(sessions))
 	for _, s := range sessions {
-		m, known := w.marks[s.HostRef]
-		m.at = m.at.Add(pause)
-		if !known || m.renewed != s.Renewed {
-			m = mark{renewed: s.Renewed, at: now}
+		h, known := w.heartbeats[s.HostRef]
+		h.at = h.at.Add(outage)
+		if !known || h.renewed != s.Renewed {
+			h = heartbeat{renewed: s.Renewed, at: now}
 		}
-		m.leaving = s.Leaving
-		marks[s.HostRef] = m
+		h.leaving = s.Leaving
+		heartbeats[s.HostRef] = h
 	}
-	w.marks = marks
+	w.heartbeats = heartbeats
 }
 
-// Live tells whether a session is open and not lapsed.
+// Live reports whether a session is open and has not expired.
 func (w *Watcher) Live(now time.Time, ref record.HostRef) bool {
-	m, ok := w.marks[ref]
-	return ok && now.Sub(m.at) <= w.ttl
+	h, ok := w.heartbeats[ref]
+	return ok && now.Sub(h.at) <= w.ttl
 }
 
-// Candidates returns the sessions that may take a pool: neither lapsed nor
-// leaving. Two hosts that leave at once would otherwise pass a pool to and fro.
+// Candidates returns the sessions that may claim a pool: those that are live and not
+// leaving. Two hosts that leave at the same time must not pass a pool back and forth.
 func (w *Watcher) Candidates(now time.Time) []record.HostRef {
 	var live []record.HostRef
-	for ref, m := range w.marks {
-		if w.Live(now, ref) && !m.leaving {
+	for ref, h := range w.heartbeats {
+		if w.Live(now, ref) && !h.leaving {
 			live = append(live, ref)
 		}
 	}
 	return live
 }
 
-// Preferred returns the host that takes key first, by rendezvous hashing:
-// every host computes the same without a message, and the keys of a lost host
-// spread over all others. ok is false without hosts.
+// Preferred returns the host that claims key first, by rendezvous hashing. All hosts
+// compute the same result without communication, and the keys of a failed host are spread
+// over the others. It returns false if there are no hosts.
 func Preferred(key string, hosts []record.HostRef) (best record.HostRef, ok bool) {
 	var bestScore uint64
 	for _, h := range hosts {
@@ -84,8 +83,8 @@
 	return best, ok
 }
 
-// ShouldClaim tells whether self should claim a pool now: its owner is no
-// longer live and self is the preferred host.
+// ShouldClaim reports whether self should claim a pool now: its owner is not live and self
+// is the preferred host.
 func (w *Watcher) ShouldClaim(now time.Time, self record.HostRef, pool string, owner record.HostRef) bool {
 	if w.Live(now, owner) {
 		return false
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -17,9 +17,9 @@
 	return state.Session{HostRef: record.HostRef{Host: host, Incarnation: record.Incarnation(host)}, Renewed: renewed}
 }
 
-// After an outage of the log all owners would lapse at once and all pools
-// change hands: nobody could renew meanwhile.
-func TestOutageLapsesNobody(t *testing.T) {
+// Guards against all owners expiring after an outage of the log, during which no host could
+// renew.
+func TestLogOutageExpiresNoSession(t *testing.T) {
 	is := is.New(t)
 	w := lease.NewWatcher(ttl)
 	start := time.Unix(0, 0)
@@ -34,8 +34,8 @@
 	is.True(!w.Live(start.Add(66*time.Second), s.HostRef))
 }
 
-// Two hosts that leave at once pass a pool to each other and both stop with it.
-func TestLeavingHostsTakeNoPool(t *testing.T) {
+// Guards against two leaving hosts that pass a pool to each other and both stop with it.
+func TestLeavingHostsDoNotClaim(t *testing.T) {
 	is := is.New(t)
 	w := lease.NewWatcher(ttl)
 	now := time.Unix(0, 0)
@@ -51,26 +51,26 @@
 	}
 }
 
-// Exactly one of the live hosts claims each pool, and a lost host's pools
-// spread over all others.
+// Guards against several hosts claiming one pool, and against all pools of a failed host
+// going to the same host.
 func TestOneHostClaimsEachPool(t *testing.T) {
 	is := is.New(t)
 	w := lease.NewWatcher(ttl)
 	now := time.Unix(0, 0)
 	sessions := []state.Session{session("a", 1), session("b", 2), session("c", 3)}
 	w.Observe(now, sessions, true)
-	taken := map[string]int{}
+	claims := map[string]int{}
 	for i := range 300 {
 		claimed := 0
 		for _, s := range sessions {
 			if w.ShouldClaim(now, s.HostRef, fmt.Sprint("p", i), record.HostRef{Host: "dead"}) {
 				claimed++
-				taken[s.Host]++
+				claims[s.Host]++
 			}
 		}
 		is.Equal(claimed, 1)
 	}
-	for _, n := range taken {
+	for _, n := range claims {
 		is.True(n > 50)
 	}
 }
