--- a/pkg/fleet/account.go
+++ b/pkg/fleet/account.go
@@ -8,42 +8,44 @@
 	"github.com/tealvane/tealvane/pkg/finding"
 )
 
-// Account is a client account of the operator's configuration.
+// Account is a client account in the operator's configuration.
 type Account struct {
 	Name string
-	// Keys are the secrets by which callers show that they belong to the account. They are
-	// not passed on, logged or told to other hosts except within the configuration.
+	// Keys are the API keys of the account. They are never forwarded or logged, and are sent
+	// to other hosts only as part of the configuration.
 	Keys []string
-	// Priority goes before that of the route; nil leaves it to the route.
+	// Priority overrides the priority of the route; nil keeps the route's priority.
 	Priority  *int
 	Allowance Allowance
 }
 
-// Unit is what an allowance is counted in.
+// Unit is the unit in which an allowance is counted.
 type Unit int
 
-// The units.
+// The units of an allowance.
 const (
-	// Requests count one each.
+	// Requests counts each request as one.
 	Requests Unit = iota
-	// Tokens are those that a request states, read and made.
+	// Tokens counts the prompt and completion tokens that a request states.
 	Tokens
 )
 
-// Allowance is how much an account may ask of all hosts together. The zero value is no limit.
+// Allowance is the rate limit of an account over all hosts together. The zero value means no
+// limit.
 type Allowance struct {
 	Unit Unit
-	// Rate is per second; what was not used of it is kept up to Burst.
+	// Rate is the refill rate per second, and Burst is the capacity of the token bucket.
 	Rate  float64
 	Burst float64
-	// Unstated is what a request costs that states no tokens.
+	// Unstated is the cost of a request that does not state its tokens.
 	Unstated float64
 }
 
-// Limited tells whether there is a limit.
+// Limited reports whether the allowance sets a limit.
 func (a Allowance) Limited() bool { return a.Rate > 0 }
 
-// Cost is what a request counts that states so many tokens, negative where it states none.
+// Cost returns the cost of a request that states the given number of tokens. A negative number
+// means that the request states none.
 func (a Allowance) Cost(tokens float64) float64 {
 	switch {
 	case a.Unit == Requests:
@@ -54,47 +56,47 @@
 	return tokens
 }
 
-// Accounts are the client accounts of a configuration. nil are no accounts: then callers need
-// no key.
+// Accounts holds the client accounts of a configuration. A nil *Accounts means that no key is
+// required.
 type Accounts struct {
 	byName map[string]Account
 	byKey  map[string]string
 }
 
-// NewAccounts returns accounts, or an error that names all that is wrong with them, each with
-// its place and none with its keys.
-func NewAccounts(list []Account) (*Accounts, error) {
+// NewAccounts indexes the accounts by name and key. Its error lists all invalid accounts by
+// their position, without their keys.
+func NewAccounts(accounts []Account) (*Accounts, error) {
 	a := &Accounts{byName: map[string]Account{}, byKey: map[string]string{}}
 	var found finding.List
-	for i, x := range list {
-		field := fmt.Sprintf("account %d (%s)", i, x.Name)
-		add := func(message string) { found = append(found, finding.Finding{Field: field, Message: message}) }
-		if x.Name == "" {
-			add("has no name")
+	for i, account := range accounts {
+		field := fmt.Sprintf("account %d (%s)", i, account.Name)
+		report := func(message string) { found = append(found, finding.Finding{Field: field, Message: message}) }
+		if account.Name == "" {
+			report("has no name")
 		}
-		if _, twice := a.byName[x.Name]; twice {
-			add("stands there twice")
+		if _, twice := a.byName[account.Name]; twice {
+			report("stands there twice")
 		}
-		if !sound(x.Allowance) {
-			add("has an allowance that is negative or not finite")
+		if !valid(account.Allowance) {
+			report("has an allowance that is negative or not finite")
 		}
-		for n, key := range x.Keys {
-			other, taken := a.byKey[key]
+		for n, key := range account.Keys {
+			owner, used := a.byKey[key]
 			switch {
 			case key == "":
-				add(fmt.Sprintf("key %d is empty", n))
-			case taken && other != x.Name:
-				add(fmt.Sprintf("key %d is also that of %s", n, other))
+				report(fmt.Sprintf("key %d is empty", n))
+			case used && owner != account.Name:
+				report(fmt.Sprintf("key %d is also that of %s", n, owner))
 			}
-			a.byKey[key] = x.Name
+			a.byKey[key] = account.Name
 		}
-		a.byName[x.Name] = x
+		a.byName[account.Name] = account
 	}
 	return a, errors.Wrap(found.Err(), "accounts")
 }
 
-// sound tells whether an allowance can be kept to.
-func sound(a Allowance) bool {
+// valid reports whether the values of an allowance are finite and not negative.
+func valid(a Allowance) bool {
 	for _, v := range []float64{a.Rate, a.Burst, a.Unstated} {
 		if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 			return false
@@ -103,13 +105,13 @@
 	return true
 }
 
-// Of returns the account that holds a key.
+// Of returns the account that owns a key.
 func (a *Accounts) Of(key string) (Account, bool) {
 	name, ok := a.byKey[key]
 	return a.byName[name], ok
 }
 
-// All returns all accounts by name. The map must not be changed.
+// All returns all accounts by name. The caller must not modify the map.
 func (a *Accounts) All() map[string]Account {
 	if a == nil {
 		return nil
--- a/pkg/fleet/bench_test.go
+++ b/pkg/fleet/bench_test.go
@@ -7,11 +7,11 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// BenchmarkLocate measures the choice of endpoints for one request, and
-// BenchmarkIndex the same just after a new entry of one that holds the model.
+// BenchmarkLocate measures the lookup of the endpoints for one request. BenchmarkIndex also
+// includes the index update after a new entry of an endpoint that holds the model.
 func BenchmarkLocate(b *testing.B) {
 	for _, n := range []int{18, 1000, 12000} {
-		board, _ := crowd(n)
+		board, _ := boardWithEndpoints(n)
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
 			for b.Loop() {
 				board.Locate(at(0), "s", "m7", "")
@@ -22,7 +22,7 @@
 
 func BenchmarkIndex(b *testing.B) {
 	for _, n := range []int{18, 1000, 12000} {
-		board, d := crowd(n)
+		board, d := boardWithEndpoints(n)
 		e := endpoint("e6")
 		e.Holds = []fleet.Held{{Model: "m6"}, {Model: "m7"}}
 		offset := int64(n)
@@ -37,7 +37,7 @@
 	}
 }
 
-func crowd(n int) (*fleet.Board, *fleet.Directory) {
+func boardWithEndpoints(n int) (*fleet.Board, *fleet.Directory) {
 	d := fleet.NewDirectory()
 	for i := range n {
 		e := endpoint(fmt.Sprint("e", i))
--- a/pkg/fleet/board.go
+++ b/pkg/fleet/board.go
@@ -7,120 +7,123 @@
 )
 
 const (
-	// controllerSilent is how long the notices of a silent controller go before
-	// the endpoints' own entries. Orders that it gave last are carried out by then.
-	controllerSilent = 3 * time.Second
-	// indexAge is how old an index may be while nothing changed; entries that
-	// vanish with time are noticed by then.
-	indexAge = 250 * time.Millisecond
+	// controllerTimeout is how long the notices of a silent controller take precedence over
+	// the endpoints' own entries. The controller's last orders complete within this time.
+	controllerTimeout = 3 * time.Second
+	// maxIndexAge bounds how long the index is used without a check for endpoints that have
+	// expired.
+	maxIndexAge = 250 * time.Millisecond
 )
 
-// Board joins the list of endpoints with the notices of the controller. It
-// is safe for concurrent use.
+// Board combines the endpoint list with the controller's notices. It is safe for concurrent
+// use.
 type Board struct {
 	directory *Directory
 
 	mu sync.Mutex
-	// holder is who the newest notice is of; nothing but the fields that name it is set.
-	holder  Notice
-	heard   time.Time
-	notices map[EndpointID]map[string]residence
-	// version counts the changes of notices and far, versions and farVersion hold when
-	// each was changed last.
-	version    int64
-	versions   map[EndpointID]int64
-	farVersion int64
-	// far is when a model without a copy can serve at best, by the last notice.
-	far   map[ModelRef]time.Time
-	index *index
-	// stale is set when the list or a notice has changed since the index was brought
-	// up to date, checked is when that was.
-	stale   bool
-	checked time.Time
-}
-
-// residence is a model on an endpoint.
-type residence struct {
+	// controller identifies the sender of the newest notice. Only the identifying fields and
+	// StoreLoads are set.
+	controller Notice
+	heardAt    time.Time
+	placements map[EndpointID]map[string]modelState
+	// version counts the changes of placements and coldReadyAt. versions and coldVersion hold
+	// the version of the last change of each.
+	version     int64
+	versions    map[EndpointID]int64
+	coldVersion int64
+	// coldReadyAt is the earliest time at which a model without a copy on any endpoint can
+	// serve, as of the last notice.
+	coldReadyAt map[ModelRef]time.Time
+	index       *index
+	// stale is set when the list or a notice has changed since the last index update at
+	// indexedAt.
+	stale     bool
+	indexedAt time.Time
+}
+
+// modelState is the state of a model on an endpoint.
+type modelState struct {
 	endpoint Endpoint
 	readyAt  time.Time
 	leaving  bool
 	adapters map[string]bool
 }
 
-// ModelRef names a model of a service.
+// ModelRef identifies a model of a service.
 type ModelRef struct{ Service, Model string }
 
-// NewBoard returns a board on a directory.
+// NewBoard returns a board for a directory.
 func NewBoard(d *Directory) *Board {
-	return &Board{directory: d, notices: map[EndpointID]map[string]residence{}, versions: map[EndpointID]int64{}, index: newIndex()}
+	return &Board{directory: d, placements: map[EndpointID]map[string]modelState{}, versions: map[EndpointID]int64{}, index: newIndex()}
 }
 
-// Changed makes the board look at the directory again.
+// Changed marks the index as stale after a change of the directory.
 func (b *Board) Changed() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stale = true
 }
 
-// Notice takes in a notice and tells whether it is of the newest claim known.
+// Notice applies a notice. It reports whether the notice belongs to the newest known claim;
+// older notices are ignored.
 func (b *Board) Notice(now time.Time, n Notice) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n.Token < b.holder.Token {
+	if n.Token < b.controller.Token {
 		return false
 	}
-	if n.Token > b.holder.Token || n.Full {
-		b.dropOthers(n)
+	if n.Token > b.controller.Token || n.Full {
+		b.dropUnnamed(n)
 	}
-	b.holder = Notice{Holder: n.Holder, Token: n.Token, Incarnation: n.Incarnation, Addr: n.Addr, StoreLoads: n.StoreLoads}
-	b.heard = now.Add(-time.Duration(n.HeardAgo) * time.Millisecond)
+	b.controller = Notice{Holder: n.Holder, Token: n.Token, Incarnation: n.Incarnation, Addr: n.Addr, StoreLoads: n.StoreLoads}
+	b.heardAt = now.Add(-time.Duration(n.HeardAgo) * time.Millisecond)
 	for _, p := range n.Endpoints {
-		b.place(p.Endpoint, residences(now, p))
+		b.setPlacement(p.Endpoint, modelStates(now, p))
 	}
 	if !n.FarKnown {
-		b.takeFar(now, n.Far)
+		b.setCold(now, n.Far)
 	}
-	b.stale = true // Whether notices are trusted may have changed.
+	b.stale = true // The controller may have become trusted again.
 	return true
 }
 
-// dropOthers forgets what a notice that names all endpoints does not name, and all where
-// it is of a newer claim.
-func (b *Board) dropOthers(n Notice) {
+// dropUnnamed drops the placements that a full notice does not name, and all placements if the
+// notice belongs to a newer claim.
+func (b *Board) dropUnnamed(n Notice) {
 	named := make(map[EndpointID]bool, len(n.Endpoints))
 	for _, p := range n.Endpoints {
-		named[p.Endpoint] = n.Token == b.holder.Token
+		named[p.Endpoint] = n.Token == b.controller.Token
 	}
-	for id := range b.notices {
+	for id := range b.placements {
 		if !named[id] {
-			delete(b.notices, id)
-			b.changed(id)
+			delete(b.placements, id)
+			b.markChanged(id)
 		}
 	}
 }
 
-// place takes in what an endpoint holds. A notice that repeats what is known changes
-// nothing, so that other hosts are not told again.
-func (b *Board) place(id EndpointID, models map[string]residence) {
-	old, known := b.notices[id]
-	if known && sameResidences(old, models) {
+// setPlacement replaces the models of an endpoint. An unchanged placement keeps its version,
+// so that it is not sent to other hosts again.
+func (b *Board) setPlacement(id EndpointID, models map[string]modelState) {
+	old, known := b.placements[id]
+	if known && sameModels(old, models) {
 		return
 	}
-	b.notices[id] = models
-	b.changed(id)
+	b.placements[id] = models
+	b.markChanged(id)
 }
 
-func (b *Board) changed(id EndpointID) {
+func (b *Board) markChanged(id EndpointID) {
 	b.version++
 	b.versions[id] = b.version
-	b.index.touch(id)
+	b.index.markDirty(id)
 }
 
-// sameTime is the difference below which two statements of a time are one: each is
-// passed on as what is left of it, which takes a few milliseconds a hop.
-const sameTime = 25 * time.Millisecond
+// timeTolerance is the difference below which two ready times count as equal. Ready times are
+// sent as remaining milliseconds and drift with each hop.
+const timeTolerance = 25 * time.Millisecond
 
-func sameResidences(a, b map[string]residence) bool {
+func sameModels(a, b map[string]modelState) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -129,35 +132,35 @@
 		if !ok || r.leaving != o.leaving || r.readyAt.IsZero() != o.readyAt.IsZero() || !maps.Equal(r.adapters, o.adapters) {
 			return false
 		}
-		if r.readyAt.Sub(o.readyAt).Abs() > sameTime {
+		if r.readyAt.Sub(o.readyAt).Abs() > timeTolerance {
 			return false
 		}
 	}
 	return true
 }
 
-// takeFar takes in which models have to come from the weight store.
-func (b *Board) takeFar(now time.Time, models []FarModel) {
-	far := make(map[ModelRef]time.Time, len(models))
-	same := len(models) == len(b.far)
+// setCold replaces the set of models that must be loaded from the weight store.
+func (b *Board) setCold(now time.Time, models []FarModel) {
+	cold := make(map[ModelRef]time.Time, len(models))
+	same := len(models) == len(b.coldReadyAt)
 	for _, f := range models {
 		ref := ModelRef{f.Service, f.Model}
-		far[ref] = now.Add(time.Duration(f.ReadyIn) * time.Millisecond)
-		old, known := b.far[ref]
-		same = same && known && far[ref].Sub(old).Abs() <= sameTime
+		cold[ref] = now.Add(time.Duration(f.ReadyIn) * time.Millisecond)
+		old, known := b.coldReadyAt[ref]
+		same = same && known && cold[ref].Sub(old).Abs() <= timeTolerance
 	}
 	if same {
 		return
 	}
-	b.far = far
+	b.coldReadyAt = cold
 	b.version++
-	b.farVersion = b.version
+	b.coldVersion = b.version
 }
 
-func residences(now time.Time, p Placement) map[string]residence {
-	models := make(map[string]residence, len(p.Models))
+func modelStates(now time.Time, p Placement) map[string]modelState {
+	models := make(map[string]modelState, len(p.Models))
 	for _, m := range p.Models {
-		r := residence{leaving: m.Leaving, adapters: map[string]bool{}}
+		r := modelState{leaving: m.Leaving, adapters: map[string]bool{}}
 		if m.ReadyIn > 0 {
 			r.readyAt = now.Add(time.Duration(m.ReadyIn) * time.Millisecond)
 		}
@@ -169,40 +172,40 @@
 	return models
 }
 
-// StoreLoads is how many loads from the weight store run at full speed, as the last
-// controller heard has learned; 0 if none was heard.
+// StoreLoads returns how many loads from the weight store can run at full speed, as last
+// reported by the controller; 0 if unknown.
 func (b *Board) StoreLoads() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.holder.StoreLoads
+	return b.controller.StoreLoads
 }
 
-// Token returns the newest claim that a notice has named.
+// Token returns the fencing token of the newest claim seen in a notice.
 func (b *Board) Token() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.holder.Token
+	return b.controller.Token
 }
 
-// Location is where a model, or an adapter of it, is held.
+// Location lists where a model or an adapter is available.
 type Location struct {
-	// Ready endpoints serve it.
+	// Ready lists the endpoints that serve the model or adapter.
 	Ready []Endpoint
-	// ComingAt is when the next endpoint will, zero if none is loading.
+	// ComingAt is when the next endpoint becomes ready; zero if none is loading.
 	ComingAt time.Time
-	// FarUntil is when a model that has no copy at any endpoint can serve at
-	// best; zero if it has one or that is not known.
+	// FarUntil is the earliest time at which a model without a copy on any endpoint can serve;
+	// zero if the model has a copy or the time is not known.
 	FarUntil time.Time
-	// Known tells whether the service has any endpoint that takes requests.
+	// Known reports whether any endpoint of the service takes requests.
 	Known bool
 }
 
-// Locate finds the endpoints of a service; model is empty for plain services
-// and adapter for the model itself.
+// Locate returns the location of a model, or of one of its adapters if adapter is set. An
+// empty model selects all endpoints of a plain service.
 func (b *Board) Locate(now time.Time, service, model, adapter string) Location {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.stale || now.Sub(b.checked) > indexAge {
+	if b.stale || now.Sub(b.indexedAt) > maxIndexAge {
 		b.refresh(now)
 	}
 	l := Location{Known: b.index.serves(service)}
@@ -210,8 +213,8 @@
 		l.Ready = b.index.endpoints(service)
 		return l
 	}
-	if now.Sub(b.heard) < controllerSilent {
-		l.FarUntil = b.far[ModelRef{service, model}]
+	if now.Sub(b.heardAt) < controllerTimeout {
+		l.FarUntil = b.coldReadyAt[ModelRef{service, model}]
 	}
 	for _, r := range b.index.holders(ModelRef{service, model}) {
 		switch {
@@ -227,24 +230,25 @@
 	return l
 }
 
-// refresh brings the index up to date with the list and the notices.
+// refresh applies changes of the list and the notices to the index. It must be called with mu
+// held.
 func (b *Board) refresh(now time.Time) {
 	b.stale = false
-	b.checked = now
-	if trusted := now.Sub(b.heard) < controllerSilent; trusted != b.index.trusted {
-		b.index.trusted = trusted
-		b.index.touchAll()
+	b.indexedAt = now
+	if trusted := now.Sub(b.heardAt) < controllerTimeout; trusted != b.index.useNotices {
+		b.index.useNotices = trusted
+		b.index.markAllDirty()
 	}
 	for _, c := range b.directory.takeChanges(now) {
-		b.index.list(c)
+		b.index.applyChange(c)
 	}
-	b.index.settle(b.notices)
+	b.index.update(b.placements)
 }
 
-func fromEntry(e Endpoint) map[string]residence {
-	models := make(map[string]residence, len(e.Holds))
+func listedModels(e Endpoint) map[string]modelState {
+	models := make(map[string]modelState, len(e.Holds))
 	for _, h := range e.Holds {
-		r := residence{adapters: map[string]bool{}}
+		r := modelState{adapters: map[string]bool{}}
 		for _, a := range h.Adapters {
 			r.adapters[a] = true
 		}
--- a/pkg/fleet/board_test.go
+++ b/pkg/fleet/board_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// controllerSilent is how long the notices of a silent controller count.
-const controllerSilent = 3 * time.Second
+// controllerTimeout is how long the notices of a silent controller are used.
+const controllerTimeout = 3 * time.Second
 
-// reference answers like a board, by looking at everything each time.
+// reference is a board without an index; it evaluates all entries and notices on each call.
 type reference struct {
-	directory *fleet.Directory
-	token     int64
-	heard     time.Time
-	notices   map[fleet.EndpointID]fleet.Placement
+	directory  *fleet.Directory
+	token      int64
+	heardAt    time.Time
+	placements map[fleet.EndpointID]fleet.Placement
 }
 
 func (r *reference) notice(now time.Time, n fleet.Notice) {
@@ -26,29 +26,30 @@
 		return
 	}
 	if n.Token > r.token || n.Full {
-		r.notices = map[fleet.EndpointID]fleet.Placement{}
+		r.placements = map[fleet.EndpointID]fleet.Placement{}
 	}
-	r.token, r.heard = n.Token, now
+	r.token, r.heardAt = n.Token, now
 	for _, p := range n.Endpoints {
-		r.notices[p.Endpoint] = p
+		r.placements[p.Endpoint] = p
 	}
 }
 
-// ready returns the endpoints that serve a model, or a service if it is empty.
+// ready returns the endpoints that serve a model, or all endpoints of the service if model is
+// empty.
 func (r *reference) ready(now time.Time, service, model string) []string {
 	out := []string{}
 	for _, v := range r.directory.Live(now) {
 		if v.Draining || v.Service != service {
 			continue
 		}
-		held := model == ""
-		p, known := r.notices[v.ID]
-		if known && now.Sub(r.heard) < controllerSilent {
-			held = held || slices.ContainsFunc(p.Models, func(m fleet.ModelPlacement) bool { return m.Model == model && !m.Leaving })
+		holdsModel := model == ""
+		p, known := r.placements[v.ID]
+		if known && now.Sub(r.heardAt) < controllerTimeout {
+			holdsModel = holdsModel || slices.ContainsFunc(p.Models, func(m fleet.ModelPlacement) bool { return m.Model == model && !m.Leaving })
 		} else {
-			held = held || slices.ContainsFunc(v.Holds, func(h fleet.Held) bool { return h.Model == model })
+			holdsModel = holdsModel || slices.ContainsFunc(v.Holds, func(h fleet.Held) bool { return h.Model == model })
 		}
-		if held {
+		if holdsModel {
 			out = append(out, string(v.ID))
 		}
 	}
@@ -56,16 +57,14 @@
 	return out
 }
 
-// Requests go to an endpoint that has announced its leaving, or to none although
-// one holds the model: the index is kept up by endpoint, and each change of the
-// list, of the notices, of the time and of the store must reach it. Whatever comes
-// in which order, it answers as if it were built anew.
-func TestBoardAnswersAsIfBuiltAnew(t *testing.T) {
+// Guards against a stale index, which sends requests to a draining endpoint or misses one that
+// holds the model. After any sequence of events the board must agree with the reference.
+func TestIncrementalIndexMatchesReference(t *testing.T) {
 	models := []string{"m0", "m1", "m2"}
 	rapid.Check(t, func(t *rapid.T) {
 		d := fleet.NewDirectory()
 		b := fleet.NewBoard(d)
-		r := &reference{directory: d, notices: map[fleet.EndpointID]fleet.Placement{}}
+		r := &reference{directory: d, placements: map[fleet.EndpointID]fleet.Placement{}}
 		now := at(0)
 		offset := int64(0)
 		id := func() fleet.EndpointID {
@@ -112,7 +111,7 @@
 						}
 						slices.Sort(got)
 						if want := r.ready(now, service, m); !slices.Equal(got, want) {
-							t.Fatalf("%s of %s: %v instead of %v", m, service, got, want)
+							t.Fatalf("model %q of service %q: endpoints %v, want %v", m, service, got, want)
 						}
 					}
 				}
--- a/pkg/fleet/config.go
+++ b/pkg/fleet/config.go
@@ -1,5 +1,5 @@
-// Package fleet holds what an entry host knows of a deployment: the operator's
-// configuration, the endpoints that live and what they hold. It does no I/O.
+// Package fleet holds an entry host's view of a deployment: the operator's configuration, the
+// known endpoints and the models they hold. It does no I/O.
 package fleet
 
 import (
@@ -9,16 +9,16 @@
 
 // Config is one version of the operator's configuration.
 type Config struct {
-	// Version grows with each change, in uneven steps.
+	// Version increases with each change; versions are not consecutive.
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Accounts are nil where callers need no key.
+	// Accounts is nil if no key is required.
 	Accounts *Accounts
 }
 
-// Limits bound what a client may send and how long a connection may idle.
+// Limits bounds the size of requests and the idle time of connections.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -26,17 +26,17 @@
 	IdleTimeout    time.Duration
 }
 
-// Kind tells what may be repeated.
+// Kind determines whether a request may be retried.
 type Kind int
 
 // The kinds of requests.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// Once marks requests that may run at most once.
+	// Once requests run at most once.
 	Once
-	// Stream is answered by a series of events; it may run again only from the
-	// last event that was delivered, and only where its route is resumable.
+	// Stream requests are answered by a series of events. They may be retried only if the
+	// route is resumable, and then only from the last delivered event.
 	Stream
 )
 
@@ -46,31 +46,30 @@
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time that a request may take.
+	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// Objective is the latency within which an answer is in time; for
-	// streams that of the first event.
+	// Objective is the latency objective; for streams it applies to the first event.
 	Objective time.Duration
-	// MaxGap is the longest pause between events of a stream that is on time.
+	// MaxGap is the maximum time between two events of a stream that meets its objective.
 	MaxGap time.Duration
-	// Priority is the rank of the route, 0 is the most urgent.
+	// Priority orders routes; 0 is the most urgent.
 	Priority int
-	// Attempts is the number of endpoints on which one request may run.
+	// Attempts is the maximum number of endpoints on which one request may run.
 	Attempts  int
 	Resumable bool
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Targets are the services that requests are split over, by weight.
+	// Targets lists the services among which requests are split by weight.
 	Targets []Target
 }
 
-// Target is one service of a route and its share.
+// Target is one service of a route with its weight.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Repeatable tells whether a request of the route may run again.
+// Repeatable reports whether a request of the route may be retried.
 func (r Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
@@ -90,28 +89,28 @@
 	KVCacheTokens int
 	// WeightsMB is the memory of one endpoint for weights and adapters.
 	WeightsMB float64
-	// AdapterSlots is how many adapters an endpoint may hold.
+	// AdapterSlots is the maximum number of adapters on one endpoint.
 	AdapterSlots int
-	// LoadsPerSecond bounds the loads from the weight store over all endpoints.
+	// LoadsPerSecond limits the rate of loads from the weight store over all endpoints.
 	LoadsPerSecond float64
 	Models         map[string]Model
 }
 
-// Model is one model of an engine. The load times hold while few loads run.
+// Model is one model of an engine. The load times assume that few loads run concurrently.
 type Model struct {
 	Name      string
 	WeightsMB float64
 	AdapterMB float64
 	Adapters  int
-	// StoreLoad, DiskLoad and MemoryLoad are the times of a load from the weight
-	// store, the endpoint's disk and its memory.
+	// StoreLoad, DiskLoad and MemoryLoad are the load times from the weight store, from the
+	// endpoint's disk and from its memory.
 	StoreLoad  time.Duration
 	DiskLoad   time.Duration
 	MemoryLoad time.Duration
 }
 
-// Match returns the route of a host name and a path: the longest prefix among
-// the routes of the host.
+// Match returns the route with the longest matching path prefix among the routes of a host
+// name.
 func (c *Config) Match(host, path string) (Route, bool) {
 	best := -1
 	for i, r := range c.Routes {
@@ -128,8 +127,8 @@
 	return c.Routes[best], true
 }
 
-// Account returns the account of a request on a route by the keys that it states, and whether
-// the request is allowed. Where no key is needed, that of a key that is known still counts.
+// Account returns the account that owns the key of a request and reports whether the request
+// is allowed on the route. A valid key selects its account also on a public route.
 func (c *Config) Account(r Route, keys []string) (Account, bool) {
 	if c.Accounts == nil {
 		return Account{}, true
@@ -142,8 +141,9 @@
 	return Account{}, r.Public
 }
 
-// Names tells whether the configuration names a model of a service and, unless it is
-// empty, an adapter of it. A plain service has no models; any is as good as none.
+// Names reports whether the configuration contains a model of a service and, if adapter is
+// set, whether the model has adapters. For a plain service
+// or an empty model it returns true.
 func (c *Config) Names(service, model, adapter string) bool {
 	engine := c.Services[service].Engine
 	if engine == nil || model == "" {
@@ -153,7 +153,8 @@
 	return ok && (adapter == "" || m.Adapters > 0)
 }
 
-// Choose returns the service of a request. draw returns a number below n.
+// Choose returns a service of the route, selected by weight. draw returns a random number in
+// [0, n).
 func (r Route) Choose(draw func(n int) int) string {
 	total := 0
 	for _, t := range r.Targets {
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -6,139 +6,136 @@
 	"time"
 )
 
-// lapseGrace is how long after the store's return an entry that vanished while
-// it was away may still come back; the platform promises about two seconds.
-const lapseGrace = 2 * time.Second
+// expiryGrace is how long after a store outage expired entries may be written again; the
+// platform promises this bound.
+const expiryGrace = 2 * time.Second
 
-// goneFor is how long an endpoint that is gone is remembered, so that a late copy
-// of its entry does not bring it back: hosts that cannot read the store pass copies
-// on that are some seconds old.
-const goneFor = time.Minute
+// tombstoneTTL is how long a removed endpoint is remembered, so that a delayed copy of its
+// entry does not restore it. Hosts without access to the store receive copies that are some
+// seconds old.
+const tombstoneTTL = time.Minute
 
-// noOffset is below every offset.
+// noOffset is less than every valid offset.
 const noOffset = -1
 
-// Directory is the list of endpoints as one host has learned it.
-// It is safe for concurrent use.
+// Directory is a host's copy of the endpoint list. It is safe for concurrent use.
 type Directory struct {
 	mu      sync.Mutex
 	entries map[EndpointID]*entry
-	// current is the newest incarnation known under each name.
+	// current maps each endpoint name to its newest known incarnation.
 	current map[string]EndpointID
-	// changed names the entries that have changed since takeChanges.
+	// changed holds the endpoints that have changed since the last call of takeChanges.
 	changed map[EndpointID]bool
-	// missing counts the entries that may still come back.
+	// missing counts the entries that have disappeared and may still return.
 	missing int
-	// read is the offset up to which the list has been followed.
-	read int64
-	// material is the offset of the newest entry that changed which endpoints
-	// take requests; heartbeats do not.
-	material int64
-	// storeBack is when the store was last seen to return, storeAway whether it
-	// is away now.
-	storeBack time.Time
-	storeAway bool
-	// forgotten is the offset up to which entries of unknown endpoints are those of
-	// endpoints that were dropped.
-	forgotten int64
+	// nextOffset is the offset of the next unread entry of the list.
+	nextOffset int64
+	// routingOffset is the offset of the newest entry that changed which endpoints take
+	// requests. Plain heartbeats do not advance it.
+	routingOffset int64
+	// storeRestoredAt is the end of the last known store outage. storeUnavailable is set
+	// during an outage.
+	storeRestoredAt  time.Time
+	storeUnavailable bool
+	// prunedOffset is the newest offset of a pruned endpoint. Entries of unknown endpoints up
+	// to this offset are ignored.
+	prunedOffset int64
 }
 
 type entry struct {
 	Endpoint
 	offset int64
-	// material is the offset of the entry that last changed whether the endpoint takes
+	// routingOffset is the offset of the entry that last changed whether the endpoint takes
 	// requests.
-	material int64
-	// changed is when the entry was last taken in.
+	routingOffset int64
+	// changed is when this host received the entry.
 	changed time.Time
-	// missing is when the entry vanished while the store was away, else zero.
+	// missing is the time at which the entry disappeared after a store outage; zero if it is present.
 	missing time.Time
 	gone    bool
-	// goneAt is when the endpoint was first found gone.
+	// goneAt is when Prune first found the endpoint gone.
 	goneAt time.Time
 }
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
-	return &Directory{entries: map[EndpointID]*entry{}, current: map[string]EndpointID{}, changed: map[EndpointID]bool{}, forgotten: noOffset}
+	return &Directory{entries: map[EndpointID]*entry{}, current: map[string]EndpointID{}, changed: map[EndpointID]bool{}, prunedOffset: noOffset}
 }
 
-// Offset is the offset from which the list has to be read on.
+// Offset returns the offset of the next unread entry of the list.
 func (d *Directory) Offset() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.read
+	return d.nextOffset
 }
 
-// StoreState takes in whether the store answers this host.
-func (d *Directory) StoreState(now time.Time, answers bool) {
+// StoreState records whether the store responds to this host.
+func (d *Directory) StoreState(now time.Time, responding bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.storeAway && answers {
-		d.storeBack = now
+	if d.storeUnavailable && responding {
+		d.storeRestoredAt = now
 	}
-	d.storeAway = !answers
+	d.storeUnavailable = !responding
 }
 
-// Confirmed takes in that another host has just read the list and told what changed. The
-// store is not away then, even if it does not answer this host: entries that lapsed end
-// when they have not come back. A host that waited for a read of its own, which it makes
-// once a minute while it is told, sent requests to an endpoint that had left.
+// Confirmed records that another host has just read the list and sent its changes. The store
+// is then available, even if it does not respond to this host, so that missing entries expire
+// on time.
 func (d *Directory) Confirmed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.storeAway = false
+	d.storeUnavailable = false
 }
 
-// Apply takes in one entry of the list. An older one than is known has no effect.
+// Apply applies one entry of the list. Entries older than the known one are ignored.
 func (d *Directory) Apply(now time.Time, offset int64, e Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.read = max(d.read, offset+1)
+	d.nextOffset = max(d.nextOffset, offset+1)
 	d.apply(now, offset, e)
 }
 
 func (d *Directory) apply(now time.Time, offset int64, e Endpoint) {
 	if e.Unreadable || e.ID.Born() < d.current[e.ID.Name()].Born() && e.ID.Born() == 0 {
-		d.hide(now, offset, e.ID.Name())
+		d.markUnreadable(now, offset, e.ID.Name())
 		return
 	}
 	old := d.entries[e.ID]
-	if old != nil && old.offset >= offset || old == nil && offset <= d.forgotten {
+	if old != nil && old.offset >= offset || old == nil && offset <= d.prunedOffset {
 		return
 	}
-	if !d.succeed(e.ID) {
+	if !d.supersede(e.ID) {
 		return
 	}
-	// An incarnation that has announced its leaving never takes requests again. A
-	// late copy of an older heartbeat would otherwise route requests to it.
+	// Draining is final for an incarnation: a delayed copy of an older heartbeat must not
+	// route requests to it again.
 	if old != nil && old.Draining {
 		e.Draining = true
 	}
 	d.put(now, offset, old, e)
 }
 
-// succeed makes an incarnation the current one of its name and ends the one before. It
-// fails for an incarnation that has ended already: a write that the store carries out
-// late would bring back what that one held, and requests would be sent for it.
-func (d *Directory) succeed(id EndpointID) bool {
+// supersede makes an incarnation the current one of its name and marks the previous one as
+// gone. It returns false for an incarnation older than the current one: the store may apply a
+// delayed write of a previous incarnation.
+func (d *Directory) supersede(id EndpointID) bool {
 	name := id.Name()
-	before, known := d.current[name]
-	if known && id.Born() < before.Born() {
+	previous, known := d.current[name]
+	if known && id.Born() < previous.Born() {
 		return false
 	}
-	if known && before != id && !d.entries[before].gone {
-		d.end(d.entries[before])
+	if known && previous != id && !d.entries[previous].gone {
+		d.markGone(d.entries[previous])
 	}
 	d.current[name] = id
 	return true
 }
 
-// hide takes in an entry that is not understood, or that lacks the start which its
-// endpoint has stated. Whoever wrote it, it names no endpoint to use: the endpoint gets
-// no new requests until it writes again. It is not gone, and what it holds stays known,
-// so that requests which run there end, and its next heartbeat brings it back whole.
-func (d *Directory) hide(now time.Time, offset int64, name string) {
+// markUnreadable handles an entry that cannot be decoded, or that lacks the start time which
+// the endpoint has stated before. The endpoint takes no new requests until its next valid
+// entry. It is not gone: running requests continue and its models stay known.
+func (d *Directory) markUnreadable(now time.Time, offset int64, name string) {
 	old := d.entries[d.current[name]]
 	if old == nil || old.gone || old.offset >= offset {
 		return
@@ -150,32 +147,32 @@
 
 // put replaces an entry by a newer one; old is nil if there was none.
 func (d *Directory) put(now time.Time, offset int64, old *entry, e Endpoint) {
-	material := offset
+	routingOffset := offset
 	if old != nil && !old.gone && old.TakesRequests() == e.TakesRequests() && old.missing.IsZero() {
-		material = old.material
+		routingOffset = old.routingOffset
 	}
-	d.material = max(d.material, material)
+	d.routingOffset = max(d.routingOffset, routingOffset)
 	if old != nil && !old.missing.IsZero() {
 		d.missing--
 	}
-	d.entries[e.ID] = &entry{Endpoint: e, offset: offset, material: material, changed: now}
+	d.entries[e.ID] = &entry{Endpoint: e, offset: offset, routingOffset: routingOffset, changed: now}
 	d.changed[e.ID] = true
 }
 
-// Remove takes in that the entry of an endpoint was deleted, whatever its incarnation.
+// Remove applies the deletion of an endpoint's entry, for any incarnation.
 func (d *Directory) Remove(now time.Time, offset int64, id EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.read = max(d.read, offset+1)
+	d.nextOffset = max(d.nextOffset, offset+1)
 	if e := d.entries[d.current[id.Name()]]; e != nil && e.offset < offset {
 		e.offset = offset
-		e.material = offset
-		d.material = max(d.material, offset)
-		d.vanish(now, e)
+		e.routingOffset = offset
+		d.routingOffset = max(d.routingOffset, offset)
+		d.handleRemoval(now, e)
 	}
 }
 
-// serviceOf is the service of an endpoint, empty if it is not known.
+// serviceOf returns the service of an endpoint, or "" if the endpoint is unknown.
 func (d *Directory) serviceOf(id EndpointID) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,70 +182,68 @@
 	return ""
 }
 
-// Material is the offset of the newest entry that changed which endpoints take
-// requests.
+// Material returns the offset of the newest entry that changed which endpoints take requests.
 func (d *Directory) Material() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.material
+	return d.routingOffset
 }
 
-// MaterialSince returns the endpoints that came, announced their leaving or went
-// after an offset.
+// MaterialSince returns the endpoints that were added, started draining or were removed after
+// an offset.
 func (d *Directory) MaterialSince(offset int64) []EndpointID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []EndpointID
 	for id, e := range d.entries {
-		if e.material > offset {
+		if e.routingOffset > offset {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// StoreBack takes in that the store was away until a time. A host that reads it
-// seldom may not have noticed.
+// StoreBack records the end of a store outage that another host has seen. A host that reads
+// the store rarely may have missed it.
 func (d *Directory) StoreBack(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at.After(d.storeBack) {
-		d.storeBack = at
+	if at.After(d.storeRestoredAt) {
+		d.storeRestoredAt = at
 	}
 }
 
-// StoreBackAgo is how long ago the store was found to be back, 0 if entries that
-// lapsed while it was away cannot come back any more.
+// StoreBackAgo returns the time since the last store outage ended, or 0 if expired entries can
+// no longer return.
 func (d *Directory) StoreBackAgo(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ago := now.Sub(d.storeBack)
-	if d.storeBack.IsZero() || ago > lapseGrace {
+	ago := now.Sub(d.storeRestoredAt)
+	if d.storeRestoredAt.IsZero() || ago > expiryGrace {
 		return 0
 	}
 	return ago
 }
 
-// vanish marks an endpoint whose entry is gone. While the store was away all
-// entries lapse, also those of endpoints that serve: they stay in use until
-// lapseGrace after its return. Taking them as gone at once would refuse every
-// request for that time.
-func (d *Directory) vanish(now time.Time, e *entry) {
+// handleRemoval marks an endpoint as gone after its entry was removed. During a store outage
+// the entries of all endpoints expire, including those of healthy ones. Such endpoints stay in
+// use until expiryGrace after the outage, since marking them as gone at once would reject all
+// requests.
+func (d *Directory) handleRemoval(now time.Time, e *entry) {
 	if e.gone {
 		return
 	}
-	if !d.storeBack.IsZero() && now.Sub(d.storeBack) < lapseGrace && !e.Draining {
+	if !d.storeRestoredAt.IsZero() && now.Sub(d.storeRestoredAt) < expiryGrace && !e.Draining {
 		if e.missing.IsZero() {
 			e.missing = now
 			d.missing++
 		}
 		return
 	}
-	d.end(e)
+	d.markGone(e)
 }
 
-// end marks an endpoint as gone.
-func (d *Directory) end(e *entry) {
+func (d *Directory) markGone(e *entry) {
 	if !e.missing.IsZero() {
 		d.missing--
 		e.missing = time.Time{}
@@ -257,29 +252,29 @@
 	d.changed[e.ID] = true
 }
 
-// expire ends the endpoints whose entries have not come back.
-func (d *Directory) expire(now time.Time) {
-	if d.missing == 0 || d.storeAway || now.Sub(d.storeBack) < lapseGrace {
+// expireMissing marks endpoints as gone if their entries have not returned after an outage.
+func (d *Directory) expireMissing(now time.Time) {
+	if d.missing == 0 || d.storeUnavailable || now.Sub(d.storeRestoredAt) < expiryGrace {
 		return
 	}
 	for _, e := range d.entries {
 		if !e.missing.IsZero() {
-			d.end(e)
+			d.markGone(e)
 		}
 	}
 }
 
-// change is what has become of an endpoint.
+// change is a changed endpoint.
 type change struct {
 	endpoint Endpoint
 	gone     bool
 }
 
-// takeChanges returns what has changed since the last call.
+// takeChanges returns and clears the changes since the last call.
 func (d *Directory) takeChanges(now time.Time) []change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.expire(now)
+	d.expireMissing(now)
 	var out []change
 	for id := range d.changed {
 		c := change{endpoint: Endpoint{ID: id}, gone: true}
@@ -292,60 +287,59 @@
 	return out
 }
 
-// Replace takes in a complete listing that was read up to offset next. An
-// older listing than what has been followed removes nothing.
-func (d *Directory) Replace(now time.Time, next int64, list map[int64]Endpoint) {
+// Replace applies a complete listing that ends before the offset next. A listing older than
+// the entries already read removes nothing.
+func (d *Directory) Replace(now time.Time, next int64, entries map[int64]Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	present := make(map[string]bool, len(list))
-	for offset, e := range list {
-		present[e.ID.Name()] = true
+	listed := make(map[string]bool, len(entries))
+	for offset, e := range entries {
+		listed[e.ID.Name()] = true
 		d.apply(now, offset, e)
 	}
-	if next < d.read {
+	if next < d.nextOffset {
 		return
 	}
-	d.read = next
+	d.nextOffset = next
 	for id, e := range d.entries {
-		if !present[id.Name()] && e.offset < next {
-			d.vanish(now, e)
+		if !listed[id.Name()] && e.offset < next {
+			d.handleRemoval(now, e)
 		}
 	}
 }
 
-// View is an endpoint with the age of what is known of it.
+// View is an endpoint with the offset and age of its entry.
 type View struct {
 	Endpoint
-	// Offset of the entry in the list; a greater one is newer.
+	// Offset is the offset of the entry in the list; a greater offset is newer.
 	Offset int64
-	// Changed is when this host took the entry in.
+	// Changed is when this host received the entry.
 	Changed time.Time
 }
 
-// Live returns the endpoints that may be used or are draining, by ID. Those
-// whose entry has vanished for good are dropped.
+// Live returns the endpoints that are not gone, including draining ones, ordered by ID.
 func (d *Directory) Live(now time.Time) []View {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.expire(now)
-	list := make([]View, 0, len(d.entries))
+	d.expireMissing(now)
+	views := make([]View, 0, len(d.entries))
 	for _, e := range d.entries {
 		if e.gone {
 			continue
 		}
-		list = append(list, View{Endpoint: e.Endpoint, Offset: e.offset, Changed: e.changed})
+		views = append(views, View{Endpoint: e.Endpoint, Offset: e.offset, Changed: e.changed})
 	}
-	slices.SortFunc(list, func(a, b View) int {
+	slices.SortFunc(views, func(a, b View) int {
 		if a.ID < b.ID {
 			return -1
 		}
 		return 1
 	})
-	return list
+	return views
 }
 
-// Leave takes in that an endpoint has said in an answer that it leaves. Its entry may not say so
-// for long: while the store is away nothing is written there.
+// Leave marks an endpoint as draining after it has announced this in a response. During a
+// store outage its entry may not show it.
 func (d *Directory) Leave(id EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -355,7 +349,7 @@
 	}
 }
 
-// Announced tells whether an endpoint has said that it leaves, or was taken off the list.
+// Announced reports whether an endpoint is draining or was removed from the list.
 func (d *Directory) Announced(id EndpointID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -363,7 +357,7 @@
 	return e != nil && (e.Draining || e.gone)
 }
 
-// Gone tells whether an endpoint is known to have ended.
+// Gone reports whether an endpoint is known to have terminated.
 func (d *Directory) Gone(id EndpointID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -371,44 +365,43 @@
 	return e != nil && e.gone
 }
 
-// Prune drops the endpoints that have been gone for long. Otherwise each one that
-// is replaced would take about a kilobyte for the life of the process. Endpoints
-// that live have newer entries than those dropped: they write one each second. It
-// returns what was dropped, but for former incarnations of endpoints that are kept.
+// Prune deletes endpoints that have been gone for tombstoneTTL, to bound memory. Live
+// endpoints write heartbeats and so have newer offsets than pruned ones. Prune returns the
+// pruned endpoints, except previous incarnations of endpoints that are kept.
 func (d *Directory) Prune(now time.Time) []EndpointID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var dropped []EndpointID
+	var pruned []EndpointID
 	for id, e := range d.entries {
 		switch {
 		case !e.gone:
 		case e.goneAt.IsZero():
 			e.goneAt = now
-		case now.Sub(e.goneAt) >= goneFor:
+		case now.Sub(e.goneAt) >= tombstoneTTL:
 			delete(d.entries, id)
-			d.forgotten = max(d.forgotten, e.offset)
+			d.prunedOffset = max(d.prunedOffset, e.offset)
 			if d.current[id.Name()] == id {
 				delete(d.current, id.Name())
-				dropped = append(dropped, id)
+				pruned = append(pruned, id)
 			}
 		}
 	}
-	return dropped
+	return pruned
 }
 
-// Known is the number of endpoints that are remembered, gone ones too.
+// Known returns the number of endpoints in memory, including gone ones.
 func (d *Directory) Known() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.entries)
 }
 
-// Forget marks an endpoint as gone by what this host has seen itself, such as
+// Forget marks an endpoint as gone because of what this host has observed itself, such as
 // another incarnation at its address.
 func (d *Directory) Forget(id EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e := d.entries[id]; e != nil {
-		d.end(e)
+		d.markGone(e)
 	}
 }
--- a/pkg/fleet/endpoint.go
+++ b/pkg/fleet/endpoint.go
@@ -5,35 +5,35 @@
 	"strings"
 )
 
-// EndpointID names one incarnation of an endpoint: the name that its entries in the list
-// stand under and, where the endpoint states it, when it was started. An endpoint may
-// start again under its name. It then holds nothing, counts its orders anew and has ended
-// all runs, so that whatever is kept by EndpointID ends with the incarnation.
+// EndpointID identifies one incarnation of an endpoint by its name in the list and, if the
+// endpoint states it, its start time. An endpoint may restart under the same name. The new
+// incarnation holds no models, runs no requests and restarts its order sequence, so that state
+// kept by EndpointID does not outlive the incarnation.
 type EndpointID string
 
-// bornMark separates an endpoint's name from its start.
-const bornMark = "@"
+// incarnationSeparator separates the name of an endpoint from its start time.
+const incarnationSeparator = "@"
 
-// NewEndpointID returns the ID of an incarnation. Born is its start in Unix
-// milliseconds, 0 if the endpoint does not state it.
+// NewEndpointID returns the ID of an incarnation. born is its start time in Unix milliseconds,
+// 0 if the endpoint does not state it.
 func NewEndpointID(name string, born int64) EndpointID {
-	if born == 0 && !strings.Contains(name, bornMark) {
+	if born == 0 && !strings.Contains(name, incarnationSeparator) {
 		return EndpointID(name)
 	}
-	return EndpointID(name + bornMark + strconv.FormatInt(born, 10))
+	return EndpointID(name + incarnationSeparator + strconv.FormatInt(born, 10))
 }
 
-// Name is what the endpoint calls itself in each of its incarnations.
+// Name returns the name that all incarnations of the endpoint share.
 func (id EndpointID) Name() string {
-	if i := strings.LastIndex(string(id), bornMark); i >= 0 {
+	if i := strings.LastIndex(string(id), incarnationSeparator); i >= 0 {
 		return string(id[:i])
 	}
 	return string(id)
 }
 
-// Born is the start of the incarnation in Unix milliseconds, 0 if it is not known.
+// Born returns the start time of the incarnation in Unix milliseconds, 0 if unknown.
 func (id EndpointID) Born() int64 {
-	i := strings.LastIndex(string(id), bornMark)
+	i := strings.LastIndex(string(id), incarnationSeparator)
 	born, err := strconv.ParseInt(string(id[i+1:]), 10, 64)
 	if i < 0 || err != nil {
 		return 0
@@ -41,23 +41,23 @@
 	return born
 }
 
-// Endpoint is what an endpoint last said of itself in the platform's list.
+// Endpoint is the state of an endpoint as last written to the platform's list.
 type Endpoint struct {
 	ID      EndpointID
 	Service string
-	// Addr is the address as IP number and port. It may be reused by another
-	// endpoint after this one has ended.
+	// Addr is the IP address and port. Another endpoint may reuse it after this one has
+	// terminated.
 	Addr string
 	Zone string
-	// Slots is the number of requests that run at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
 	// Draining endpoints take no new requests.
 	Draining bool
-	// Unreadable is set where the newest entry under the name is not understood: it
-	// may be of another writer, and names no endpoint to use. Only the ID is known.
+	// Unreadable is set if the newest entry of the endpoint cannot be decoded, for example
+	// because another writer wrote it. Only the ID is valid then.
 	Unreadable bool
 	Holds      []Held
-	// InMemory and OnDisk name the models of which the endpoint keeps a copy.
+	// InMemory and OnDisk list the models of which the endpoint keeps a copy.
 	InMemory []string
 	OnDisk   []string
 }
@@ -68,21 +68,21 @@
 	Adapters []string
 }
 
-// TakesRequests tells whether new requests may be sent to the endpoint.
+// TakesRequests reports whether new requests may be sent to the endpoint.
 func (e Endpoint) TakesRequests() bool { return !e.Draining && !e.Unreadable }
 
-// Report is an endpoint's answer to a status call; it lags.
+// Report is the response of an endpoint to a status call. It may lag behind the actual state.
 type Report struct {
 	Holds []Held
-	// Loading lists adapters that are on their way, as MODEL/NAME.
+	// Loading lists the adapters that are being loaded, as MODEL/NAME.
 	Loading []string
-	// Busy endpoints carry out an order.
+	// Busy is set while the endpoint executes an order.
 	Busy bool
-	// Sequence counts the orders that the endpoint had accepted.
+	// Sequence is the number of orders that the endpoint has accepted.
 	Sequence int64
 }
 
-// Load is the number of requests at an endpoint as its answers state it.
+// Load is the number of requests at an endpoint, as stated in its responses.
 type Load struct {
 	Running int
 	Waiting int
--- a/pkg/fleet/signal.go
+++ b/pkg/fleet/endpoint_signal.go
@@ -1,20 +1,20 @@
 package fleet
 
-// EndpointSignal is what an endpoint says of itself in its answers, as far as it concerns all
-// hosts.
+// EndpointSignal is the part of an endpoint's state, stated in its responses, that is shared
+// among all hosts.
 type EndpointSignal struct {
 	Endpoint EndpointID `cbor:"1,keyasint"`
-	// Version grows with each change of the rate that any host sees at the endpoint.
+	// Version increases with each change of the rate that a host observes.
 	Version int64 `cbor:"2,keyasint"`
-	// Limited tells whether the endpoint states a request rate, Rate is that in requests a
-	// second from all hosts together.
+	// Limited reports whether the endpoint states a request rate limit. Rate is the limit in
+	// requests per second over all hosts together.
 	Limited bool    `cbor:"3,keyasint,omitempty"`
 	Rate    float64 `cbor:"4,keyasint,omitempty"`
-	// Leaving endpoints end soon; they never stop to.
+	// Leaving endpoints terminate soon. The flag is never cleared.
 	Leaving bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Merge returns what two signals of the same endpoint tell together.
+// Merge combines two signals of the same endpoint.
 func (s EndpointSignal) Merge(o EndpointSignal) EndpointSignal {
 	leaving := s.Leaving || o.Leaving
 	if o.newerThan(s) {
@@ -24,8 +24,8 @@
 	return s
 }
 
-// newerThan tells whether the rate of a signal replaces that of another. Two hosts may see a
-// change at the same time; all hosts then keep the stricter one.
+// newerThan reports whether the rate of s replaces the rate of o. If two hosts observe a
+// change concurrently, the stricter rate wins.
 func (s EndpointSignal) newerThan(o EndpointSignal) bool {
 	switch {
 	case s.Version != o.Version:
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -29,7 +29,7 @@
 	return fleet.Endpoint{ID: fleet.EndpointID(id), Service: "s", Addr: "127.0.0.1:1"}
 }
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
+func TestMatchUsesLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	c := &fleet.Config{Routes: []fleet.Route{
 		{Name: "short", Host: "h", PathPrefix: "/a/"},
@@ -43,10 +43,9 @@
 	}
 }
 
-// The store is away; the entries of all endpoints lapse meanwhile, and their
-// removal is read when it returns. Endpoints that live are back two seconds
-// later; until then every request would be refused.
-func TestEntriesThatLapsedWithTheStoreStay(t *testing.T) {
+// Guards against rejecting all requests after a store outage, when the expired entries of live
+// endpoints are read as removed.
+func TestEntriesExpiredDuringStoreOutageAreKept(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	d.Apply(at(0), 0, endpoint("a"))
@@ -57,12 +56,11 @@
 	d.Remove(at(10.1), 3, "b")
 	is.Equal(ids(d.Live(at(10.2))), []fleet.EndpointID{"a", "b"})
 	d.Apply(at(11), 4, endpoint("a"))
-	is.Equal(ids(d.Live(at(12.1))), []fleet.EndpointID{"a"}) // b did not come back
+	is.Equal(ids(d.Live(at(12.1))), []fleet.EndpointID{"a"}) // b was not written again
 }
 
-// An endpoint announces its leaving; a late copy of an older heartbeat, or a
-// lapse of its entry during an outage, must not bring it back.
-func TestLeavingEndpointsStayOut(t *testing.T) {
+// Guards against a delayed heartbeat that makes a draining endpoint routable again.
+func TestDrainingEndpointStaysDraining(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	leaving := endpoint("a")
@@ -73,9 +71,8 @@
 	is.True(d.Live(at(1))[0].Draining)
 }
 
-// A listing that a peer sends is older than what this host has followed. It must
-// not take away endpoints that came since.
-func TestOldListingRemovesNothing(t *testing.T) {
+// Guards against a stale listing from a peer that removes newer endpoints.
+func TestStaleListingRemovesNothing(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	d.Apply(at(0), 7, endpoint("new"))
@@ -85,9 +82,8 @@
 	is.Equal(ids(d.Live(at(2))), []fleet.EndpointID{"old"})
 }
 
-// The order in which copies of entries arrive does not matter: the entry with
-// the greatest offset holds.
-func TestDirectoryIgnoresTheOrderOfCopies(t *testing.T) {
+// The entry with the greatest offset wins in any order of arrival.
+func TestDirectoryKeepsNewestOffset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "entries")
 		zone := make([]string, n)
@@ -103,12 +99,12 @@
 			d.Apply(at(0), offset, e)
 		}
 		if got := d.Live(at(0))[0].Zone; got != zone[n-1] {
-			t.Fatalf("zone %q, the newest entry says %q", got, zone[n-1])
+			t.Fatalf("zone %q, want %q from the newest entry", got, zone[n-1])
 		}
 	})
 }
 
-func TestBoardFollowsTheNewestController(t *testing.T) {
+func TestBoardFollowsNewestController(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	e := endpoint("a")
@@ -127,17 +123,16 @@
 	is.Equal(b.Locate(at(0), "s", "told", "").ComingAt, at(0.5))
 	is.Equal(ready(at(0.5), "told", "x"), 1)
 	is.Equal(ready(at(0.5), "told", "y"), 0)
-	// A controller that has lost its claim goes on to send notices for a moment.
+	// A previous controller may send notices for a short time after it has lost its claim.
 	is.True(!b.Notice(at(0.6), notice(1)))
 	is.Equal(ready(at(0.6), "told", ""), 1)
-	// A silent controller is believed for a while only.
+	// The notices of a silent controller expire.
 	is.Equal(ready(at(9), "told", ""), 0)
 	is.Equal(ready(at(9), "listed", ""), 1)
 }
 
-// The controller tells other hosts when to read the list: for what changes
-// where requests go, and not for each heartbeat.
-func TestHeartbeatsAreNotMaterial(t *testing.T) {
+// Guards against heartbeats that make other hosts read the list again.
+func TestHeartbeatsDoNotChangeRoutingOffset(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	d.Apply(at(0), 3, endpoint("a"))
@@ -152,11 +147,9 @@
 	is.Equal(d.Material(), int64(6))
 }
 
-// Endpoints are replaced thousands of times a day, and each one that is gone was
-// kept for the life of the process. They are dropped after a while, and a late
-// copy of a dropped one's entry must not bring it back: its address may belong to
-// another endpoint by then.
-func TestEndpointsThatAreGoneAreDropped(t *testing.T) {
+// Guards against unbounded growth by replaced endpoints, and against a delayed entry that
+// restores a pruned endpoint.
+func TestPruneDropsGoneEndpoints(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	const replaced = 1000
@@ -176,7 +169,7 @@
 	is.Equal(live[0].ID, fleet.EndpointID(fmt.Sprint("e", replaced-1)))
 }
 
-func TestNames(t *testing.T) {
+func TestConfigNamesModels(t *testing.T) {
 	c := &fleet.Config{Services: map[string]fleet.Service{
 		"plain": {Name: "plain"},
 		"llm": {Name: "llm", Engine: &fleet.Engine{Models: map[string]fleet.Model{
@@ -200,10 +193,9 @@
 	}
 }
 
-// Other hosts are told of the endpoints that came, announced their leaving, went or came
-// back. One that is left out stays unknown at all of them, or gets requests after it
-// has left; heartbeats of all others would be most of the message.
-func TestMaterialSince(t *testing.T) {
+// Other hosts receive exactly the endpoints that were added, started draining, were removed or
+// returned. Missing ones would stay unknown there or get requests while they drain.
+func TestRoutingChangesSince(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	d.Apply(at(0), 0, endpoint("a"))
@@ -216,7 +208,7 @@
 	d.Apply(at(2), 3, leaving)
 	is.Equal(d.MaterialSince(1), []fleet.EndpointID{"a"})
 	d.Apply(at(3), 4, leaving)
-	is.Equal(d.MaterialSince(2), []fleet.EndpointID{"a"}) // still, after a heartbeat
+	is.Equal(d.MaterialSince(2), []fleet.EndpointID{"a"}) // still listed after a heartbeat
 	d.Remove(at(4), 5, "b")
 	is.Equal(d.MaterialSince(4), []fleet.EndpointID{"b"})
 	d.Apply(at(5), 6, endpoint("b"))
--- a/pkg/fleet/incarnation_test.go
+++ b/pkg/fleet/incarnation_test.go
@@ -7,7 +7,7 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// incarnation returns an endpoint that was started at a time and holds some models.
+// incarnation returns an endpoint with the given start time and models.
 func incarnation(name string, born int64, models ...string) fleet.Endpoint {
 	e := endpoint(name)
 	e.ID = fleet.NewEndpointID(name, born)
@@ -17,7 +17,7 @@
 	return e
 }
 
-// ready names the endpoints that serve a model, or any where it is empty.
+// ready returns the endpoints that serve a model, or all endpoints if model is empty.
 func ready(b *fleet.Board, s float64, model string) []string {
 	out := []string{}
 	for _, e := range b.Locate(at(s), "s", model, "").Ready {
@@ -26,26 +26,24 @@
 	return out
 }
 
-// An endpoint announces its leaving and starts again under its name. It was taken for
-// draining for as long as hosts lived, and a service of one endpoint refused everything.
-func TestEndpointServesAfterItsRestartUnderTheSameName(t *testing.T) {
+// Guards against an endpoint that stays draining after a restart under the same name.
+func TestRestartedEndpointServesUnderSameName(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	b := fleet.NewBoard(d)
-	leaving := incarnation("a", 100, "m")
-	leaving.Draining = true
-	d.Apply(at(0), 1, leaving)
+	draining := incarnation("a", 100, "m")
+	draining.Draining = true
+	d.Apply(at(0), 1, draining)
 	d.Apply(at(1), 2, incarnation("a", 200, "n"))
 	b.Changed()
 	is.Equal(ready(b, 1, "n"), []string{"a@200"})
-	is.Equal(ready(b, 1, "m"), []string{}) // it holds nothing of before
+	is.Equal(ready(b, 1, "m"), []string{}) // the models of the previous incarnation are gone
 	is.Equal(ids(d.Live(at(1))), []fleet.EndpointID{"a@200"})
 }
 
-// An endpoint starts again, and a heartbeat of its former incarnation is written late,
-// after the first one of the new. Requests for what the former one held went to an
-// endpoint that holds nothing.
-func TestLateHeartbeatOfAFormerIncarnationHasNoEffect(t *testing.T) {
+// Guards against a delayed heartbeat of a previous incarnation that routes requests for its
+// models to the new one.
+func TestLateHeartbeatOfPreviousIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	b := fleet.NewBoard(d)
@@ -55,21 +53,20 @@
 	b.Changed()
 	is.Equal(ready(b, 2, "m"), []string{})
 	is.Equal(ready(b, 2, ""), []string{"a@200"})
-	d.Remove(at(3), 4, "a") // an entry is removed by its name
+	d.Remove(at(3), 4, "a") // entries are removed by name
 	b.Changed()
 	is.Equal(ready(b, 3, ""), []string{})
 	is.Equal(ids(d.Live(at(3))), []fleet.EndpointID{})
 }
 
-// Another writer puts an entry under an endpoint's name that cannot be read, or lacks
-// the start that the endpoint states. The former entry stayed in use, and requests went
-// by what nobody vouches for; an entry with an odd state took the endpoint out for ever.
-func TestUnreadableEntryHidesItsEndpointUntilItWritesAgain(t *testing.T) {
-	odd := map[string]fleet.Endpoint{
+// Guards against using an endpoint by an outdated entry after another writer has overwritten
+// it, and against excluding the endpoint after its next valid heartbeat.
+func TestUnreadableEntryExcludesEndpointUntilNextHeartbeat(t *testing.T) {
+	invalid := map[string]fleet.Endpoint{
 		"unreadable":    {ID: "a", Unreadable: true},
 		"without start": incarnation("a", 0, "m"),
 	}
-	for name, e := range odd {
+	for name, e := range invalid {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := fleet.NewDirectory()
@@ -79,9 +76,9 @@
 			before := d.Material()
 			d.Apply(at(1), 3, e)
 			b.Changed()
-			is.Equal(ready(b, 1, "m"), []string{"b@100"})                      // the others hold
-			is.Equal(ids(d.Live(at(1))), []fleet.EndpointID{"a@100", "b@100"}) // its runs go on
-			is.True(d.Material() > before)                                     // other hosts are told
+			is.Equal(ready(b, 1, "m"), []string{"b@100"})                      // other endpoints are not affected
+			is.Equal(ids(d.Live(at(1))), []fleet.EndpointID{"a@100", "b@100"}) // its requests continue
+			is.True(d.Material() > before)                                     // other hosts must learn of the change
 			d.Apply(at(2), 4, incarnation("a", 100, "m"))
 			b.Changed()
 			is.Equal(len(ready(b, 2, "m")), 2)
@@ -89,9 +86,9 @@
 	}
 }
 
-// A listing is read anew while an entry in it cannot be read. Its endpoint was taken
-// for gone, and a copy of its next heartbeat that came by way of a slow host for an old one.
-func TestUnreadableEntryInAListingIsNoRemoval(t *testing.T) {
+// Guards against treating an undecodable entry in a listing as a removal, after which copies
+// of later heartbeats would be ignored.
+func TestUnreadableEntryInListingDoesNotRemoveEndpoint(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	d.Apply(at(0), 1, incarnation("a", 100, "m"))
@@ -103,7 +100,7 @@
 	is.True(!d.Live(at(1))[0].TakesRequests())
 }
 
-func TestEndpointIDKeepsNameAndStart(t *testing.T) {
+func TestEndpointIDRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"a", "", "a@7", "@"} {
 		for _, born := range []int64{0, 1764726213000} {
--- a/pkg/fleet/index.go
+++ b/pkg/fleet/index.go
@@ -1,56 +1,54 @@
 package fleet
 
-// index finds endpoints by service and by model. It is kept up by endpoint: a
-// change of the list or a notice costs what the endpoint holds, and a choice of
-// endpoints builds the answer to its own question if that has changed. The slices
-// that it returns are never written again.
+// index finds endpoints by service and by model. It is updated incrementally: a change costs
+// time proportional to the models of the changed endpoint, and the result of a lookup is
+// cached until it changes. Returned slices are never modified.
 type index struct {
-	// trusted tells whether notices go before the endpoints' own entries.
-	trusted bool
-	// listed holds the endpoints that take requests, by the list.
+	// useNotices reports whether notices take precedence over the endpoints' own entries.
+	useNotices bool
+	// listed holds the endpoints in the list that take requests.
 	listed map[EndpointID]Endpoint
-	// touched names the endpoints of which something has changed.
-	touched map[EndpointID]bool
-	// entered is what the index holds of each endpoint.
-	entered   map[EndpointID]entered
-	byService map[string]*group[Endpoint]
-	byModel   map[ModelRef]*group[residence]
+	// dirty holds the endpoints that must be indexed again.
+	dirty map[EndpointID]bool
+	// indexed holds the keys under which each endpoint is indexed.
+	indexed   map[EndpointID]indexKeys
+	byService map[string]*memberSet[Endpoint]
+	byModel   map[ModelRef]*memberSet[modelState]
 }
 
-// entered is what the index holds of one endpoint.
-type entered struct {
+// indexKeys holds the keys under which an endpoint is indexed.
+type indexKeys struct {
 	service string
 	models  []ModelRef
 }
 
-// group is the members of one answer, and the answer once it was asked for.
-type group[T any] struct {
+// memberSet is a set of endpoints or models with a cached list of its members.
+type memberSet[T any] struct {
 	members map[EndpointID]T
-	answer  []T
+	cached  []T
 }
 
 func newIndex() *index {
 	return &index{
 		listed:    map[EndpointID]Endpoint{},
-		touched:   map[EndpointID]bool{},
-		entered:   map[EndpointID]entered{},
-		byService: map[string]*group[Endpoint]{},
-		byModel:   map[ModelRef]*group[residence]{},
+		dirty:     map[EndpointID]bool{},
+		indexed:   map[EndpointID]indexKeys{},
+		byService: map[string]*memberSet[Endpoint]{},
+		byModel:   map[ModelRef]*memberSet[modelState]{},
 	}
 }
 
-// touch notes that something of an endpoint has changed.
-func (x *index) touch(id EndpointID) { x.touched[id] = true }
+func (x *index) markDirty(id EndpointID) { x.dirty[id] = true }
 
-func (x *index) touchAll() {
+func (x *index) markAllDirty() {
 	for id := range x.listed {
-		x.touch(id)
+		x.markDirty(id)
 	}
 }
 
-// list takes in a change of the list.
-func (x *index) list(c change) {
-	x.touch(c.endpoint.ID)
+// applyChange applies a change of the endpoint list.
+func (x *index) applyChange(c change) {
+	x.markDirty(c.endpoint.ID)
 	if c.gone || !c.endpoint.TakesRequests() {
 		delete(x.listed, c.endpoint.ID)
 		return
@@ -58,81 +56,81 @@
 	x.listed[c.endpoint.ID] = c.endpoint
 }
 
-// settle enters all endpoints anew that have changed.
-func (x *index) settle(notices map[EndpointID]map[string]residence) {
-	for id := range x.touched {
-		x.leave(id)
+// update indexes all dirty endpoints again.
+func (x *index) update(placements map[EndpointID]map[string]modelState) {
+	for id := range x.dirty {
+		x.removeEndpoint(id)
 		if e, ok := x.listed[id]; ok {
-			models, known := notices[id]
-			if !known || !x.trusted {
-				models = fromEntry(e)
+			models, known := placements[id]
+			if !known || !x.useNotices {
+				models = listedModels(e)
 			}
-			x.enter(e, models)
+			x.addEndpoint(e, models)
 		}
 	}
-	clear(x.touched)
+	clear(x.dirty)
 }
 
-func (x *index) leave(id EndpointID) {
-	in, ok := x.entered[id]
+func (x *index) removeEndpoint(id EndpointID) {
+	keys, ok := x.indexed[id]
 	if !ok {
 		return
 	}
-	delete(x.entered, id)
-	remove(x.byService, in.service, id)
-	for _, key := range in.models {
-		remove(x.byModel, key, id)
+	delete(x.indexed, id)
+	removeMember(x.byService, keys.service, id)
+	for _, key := range keys.models {
+		removeMember(x.byModel, key, id)
 	}
 }
 
-func (x *index) enter(e Endpoint, models map[string]residence) {
-	in := entered{service: e.Service}
-	add(x.byService, e.Service, e.ID, e)
+func (x *index) addEndpoint(e Endpoint, models map[string]modelState) {
+	keys := indexKeys{service: e.Service}
+	addMember(x.byService, e.Service, e.ID, e)
 	for name, r := range models {
 		key := ModelRef{e.Service, name}
 		r.endpoint = e
-		add(x.byModel, key, e.ID, r)
-		in.models = append(in.models, key)
+		addMember(x.byModel, key, e.ID, r)
+		keys.models = append(keys.models, key)
 	}
-	x.entered[e.ID] = in
+	x.indexed[e.ID] = keys
 }
 
-func add[K comparable, T any](groups map[K]*group[T], key K, id EndpointID, member T) {
-	g := groups[key]
-	if g == nil {
-		g = &group[T]{members: map[EndpointID]T{}}
-		groups[key] = g
+func addMember[K comparable, T any](sets map[K]*memberSet[T], key K, id EndpointID, member T) {
+	set := sets[key]
+	if set == nil {
+		set = &memberSet[T]{members: map[EndpointID]T{}}
+		sets[key] = set
 	}
-	g.members[id] = member
-	g.answer = nil
+	set.members[id] = member
+	set.cached = nil
 }
 
-func remove[K comparable, T any](groups map[K]*group[T], key K, id EndpointID) {
-	g := groups[key]
-	delete(g.members, id)
-	g.answer = nil
-	if len(g.members) == 0 {
-		delete(groups, key)
+func removeMember[K comparable, T any](sets map[K]*memberSet[T], key K, id EndpointID) {
+	set := sets[key]
+	delete(set.members, id)
+	set.cached = nil
+	if len(set.members) == 0 {
+		delete(sets, key)
 	}
 }
 
-// all returns the members in any order.
-func (g *group[T]) all() []T {
-	if g == nil {
+// list returns the members in no particular order.
+func (s *memberSet[T]) list() []T {
+	if s == nil {
 		return nil
 	}
-	if g.answer == nil {
-		g.answer = make([]T, 0, len(g.members))
-		for _, m := range g.members {
-			g.answer = append(g.answer, m)
+	if s.cached == nil {
+		s.cached = make([]T, 0, len(s.members))
+		for _, m := range s.members {
+			s.cached = append(s.cached, m)
 		}
 	}
-	return g.answer
+	return s.cached
 }
 
-// serves tells whether a service has any endpoint that takes requests.
+// serves reports whether any endpoint of a service takes requests.
 func (x *index) serves(service string) bool { return x.byService[service] != nil }
 
-func (x *index) endpoints(service string) []Endpoint { return x.byService[service].all() }
+func (x *index) endpoints(service string) []Endpoint { return x.byService[service].list() }
 
-func (x *index) holders(key ModelRef) []residence { return x.byModel[key].all() }
+func (x *index) holders(key ModelRef) []modelState { return x.byModel[key].list() }
--- /dev/null
+++ b/pkg/fleet/messages.go
@@ -0,0 +1,216 @@
+package fleet
+
+import "time"
+
+// Notice carries the controller's view of the endpoints to other hosts, in response to a Pull.
+// Hosts may relay it.
+type Notice struct {
+	// Holder is the name of the controller; Token is the fencing token of its claim.
+	Holder string `cbor:"1,keyasint"`
+	Token  int64  `cbor:"2,keyasint"`
+	// Full notices list all endpoints, others only those that have changed.
+	Full      bool        `cbor:"3,keyasint,omitempty"`
+	Endpoints []Placement `cbor:"4,keyasint,omitempty"`
+	// ConfigVersion is the configuration version known to the controller.
+	ConfigVersion int64 `cbor:"5,keyasint,omitempty"`
+	// ListChange is the offset of the newest list entry that changed which endpoints take
+	// requests. ListAge is the time in milliseconds since the controller read the list.
+	ListChange int64 `cbor:"6,keyasint,omitempty"`
+	ListAge    int64 `cbor:"7,keyasint,omitempty"`
+	// Incarnation and Addr identify the controller, for hosts that cannot read the claims from
+	// the store.
+	Incarnation string `cbor:"8,keyasint,omitempty"`
+	Addr        string `cbor:"9,keyasint,omitempty"`
+	// ListEntries holds, as stored, the newest entries of the endpoints that were added,
+	// started draining or were removed after the offset ListSince.
+	ListEntries []Entry `cbor:"11,keyasint,omitempty"`
+	ListSince   int64   `cbor:"12,keyasint,omitempty"`
+	// StoreBackAgo is the time in milliseconds since the controller saw the end of a store
+	// outage; 0 if there was none recently.
+	StoreBackAgo int64 `cbor:"13,keyasint,omitempty"`
+	// Far lists all requested models without a copy on any endpoint. It is omitted if the
+	// receiver already knows the list (FarKnown).
+	Far      []FarModel `cbor:"10,keyasint,omitempty"`
+	FarKnown bool       `cbor:"14,keyasint,omitempty"`
+	// StoreLoads is how many loads from the weight store can run at full speed, as learned by
+	// the controller.
+	StoreLoads int `cbor:"21,keyasint,omitempty"`
+	// Source is the incarnation of the responding host and Version the version of its state.
+	// The next Pull returns both.
+	Source  string `cbor:"15,keyasint,omitempty"`
+	Version int64  `cbor:"16,keyasint,omitempty"`
+	// HeardAgo is the time in milliseconds since the responding host heard from the
+	// controller. Stamp is the newest controller timestamp that it has received.
+	HeardAgo int64 `cbor:"17,keyasint,omitempty"`
+	Stamp    int64 `cbor:"18,keyasint,omitempty"`
+	// Hosts holds the newest host entries since the offset in the Pull, complete up to
+	// HostsNext.
+	Hosts     []Entry `cbor:"19,keyasint,omitempty"`
+	HostsNext int64   `cbor:"20,keyasint,omitempty"`
+	// BlocksSum is the checksum over all blocks known to the responding host. Blocks holds
+	// these blocks if the checksum in the Pull differs.
+	BlocksSum uint64  `cbor:"22,keyasint,omitempty"`
+	Blocks    []Block `cbor:"23,keyasint,omitempty"`
+	// Accounts lists the client accounts near their limits, as of HeardAgo.
+	Accounts AccountLevels `cbor:"24,keyasint"`
+	// SignalsSum is the checksum over all endpoint signals known to the responding host.
+	// Signals holds them if the checksum in the Pull differs.
+	SignalsSum uint64           `cbor:"25,keyasint,omitempty"`
+	Signals    []EndpointSignal `cbor:"26,keyasint,omitempty"`
+}
+
+// Pull reports the demand of a host and requests the changes since its last Notice.
+type Pull struct {
+	// Demand is the demand of the requesting host and of all hosts that pull from it.
+	Demand DemandReport `cbor:"1,keyasint"`
+	// Source, Token and Version are those of the last Notice applied.
+	Source  string `cbor:"2,keyasint,omitempty"`
+	Token   int64  `cbor:"3,keyasint,omitempty"`
+	Version int64  `cbor:"4,keyasint,omitempty"`
+	// ListNext and HostsNext are the offsets up to which the host knows the endpoint list and
+	// the host entries.
+	ListNext  int64 `cbor:"5,keyasint,omitempty"`
+	HostsNext int64 `cbor:"8,keyasint,omitempty"`
+	// Heard is what the requesting host has heard from the controller. Below is the same for
+	// the hosts that pull from it, where endpoints do not check fencing tokens.
+	Heard Heard   `cbor:"6,keyasint"`
+	Below []Heard `cbor:"7,keyasint,omitempty"`
+	// Crashes lists the crashes, seen by the requesting host and by the hosts that pull from
+	// it, that have not been sent to the responding host yet.
+	Crashes []Crash `cbor:"9,keyasint,omitempty"`
+	// BlocksSum is the checksum over all blocks known to the requesting host. Blocks holds
+	// these blocks if the responding host's last checksum differed.
+	BlocksSum uint64  `cbor:"10,keyasint,omitempty"`
+	Blocks    []Block `cbor:"11,keyasint,omitempty"`
+	// Accounts is the usage at the requesting host and at the hosts that pull from it; nil if
+	// it was reported just before. Rising is set if the usage of an account has increased
+	// sharply. Brief is set if the host pulls in place of a relay, which will report the same
+	// usage again.
+	Accounts []AccountUse `cbor:"12,keyasint,omitempty"`
+	Rising   bool         `cbor:"13,keyasint,omitempty"`
+	Brief    bool         `cbor:"14,keyasint,omitempty"`
+	// SignalsSum is the checksum over all endpoint signals known to the requesting host.
+	// Signals holds them if the responding host's last checksum differed.
+	SignalsSum uint64           `cbor:"15,keyasint,omitempty"`
+	Signals    []EndpointSignal `cbor:"16,keyasint,omitempty"`
+}
+
+// Heard is the last heartbeat of a controller that a host has received.
+type Heard struct {
+	Host string `cbor:"1,keyasint"`
+	// Token is the fencing token of the newest claim known to the host. Stamp is the newest
+	// timestamp received from its holder.
+	Token int64 `cbor:"2,keyasint,omitempty"`
+	Stamp int64 `cbor:"3,keyasint,omitempty"`
+	// StoreAge is the time in milliseconds since the store last responded to the host.
+	StoreAge int64 `cbor:"4,keyasint,omitempty"`
+}
+
+// FarModel is a model without a copy on any endpoint, which must be loaded from the weight
+// store.
+type FarModel struct {
+	Service string `cbor:"1,keyasint"`
+	Model   string `cbor:"2,keyasint"`
+	// ReadyIn is the minimum time in milliseconds until the model can serve.
+	ReadyIn int64 `cbor:"3,keyasint"`
+}
+
+// Placement lists the models on one endpoint.
+type Placement struct {
+	Endpoint EndpointID       `cbor:"1,keyasint"`
+	Models   []ModelPlacement `cbor:"2,keyasint,omitempty"`
+}
+
+// ModelPlacement is the state of a model on an endpoint.
+type ModelPlacement struct {
+	Model string `cbor:"1,keyasint"`
+	// ReadyIn is the time in milliseconds until the model can serve; 0 if it is ready.
+	ReadyIn int64 `cbor:"2,keyasint,omitempty"`
+	// Leaving models take no new requests.
+	Leaving  bool     `cbor:"3,keyasint,omitempty"`
+	Adapters []string `cbor:"4,keyasint,omitempty"`
+}
+
+// DemandReport is the demand at one host.
+type DemandReport struct {
+	Host        string       `cbor:"1,keyasint"`
+	Incarnation string       `cbor:"2,keyasint"`
+	Needs       []NeedReport `cbor:"3,keyasint,omitempty"`
+	// ConfigVersion is the configuration version known to the host.
+	ConfigVersion int64 `cbor:"4,keyasint,omitempty"`
+	// Addr is the address at which the host receives peer messages.
+	Addr string `cbor:"5,keyasint,omitempty"`
+	// Unreachable lists the endpoints to which the host recently failed to connect.
+	Unreachable []EndpointID `cbor:"6,keyasint,omitempty"`
+	// Pausing lists the endpoints that have asked the host to back off.
+	Pausing []EndpointID `cbor:"9,keyasint,omitempty"`
+	// Seq numbers the reports of an incarnation; a report older than the last one received is
+	// ignored.
+	Seq int64 `cbor:"7,keyasint,omitempty"`
+	// Same means that the needs of the previous report still apply; Needs is then empty.
+	Same bool `cbor:"8,keyasint,omitempty"`
+}
+
+// Waiting returns the models with waiting requests.
+func (r DemandReport) Waiting() map[ModelRef]bool {
+	out := map[ModelRef]bool{}
+	for _, n := range r.Needs {
+		if n.Waiting > 0 {
+			out[ModelRef{n.Service, n.Model}] = true
+		}
+	}
+	return out
+}
+
+// NeedReport is the demand for one model, or for one of its adapters.
+type NeedReport struct {
+	Service string `cbor:"1,keyasint"`
+	Model   string `cbor:"2,keyasint"`
+	Adapter string `cbor:"3,keyasint,omitempty"`
+	Waiting int    `cbor:"4,keyasint,omitempty"`
+	// DueIn is the time in milliseconds until waiting requests start to miss their objective.
+	DueIn    int64 `cbor:"5,keyasint,omitempty"`
+	Inflight int   `cbor:"6,keyasint,omitempty"`
+	Arrived  int   `cbor:"7,keyasint,omitempty"`
+	Priority int   `cbor:"8,keyasint,omitempty"`
+	// InTime is the number of waiting requests that can still meet their objective. If it is
+	// not 0, DueIn refers to these requests only.
+	InTime int `cbor:"9,keyasint,omitempty"`
+	// Starting is the total time in milliseconds that requests have waited at endpoints for
+	// the first part of their response since the last report.
+	Starting int64 `cbor:"10,keyasint,omitempty"`
+}
+
+// Plus returns the sum of two reports of the same need.
+func (n NeedReport) Plus(o NeedReport) NeedReport {
+	if dueBefore(o, n) {
+		n.DueIn = o.DueIn
+	}
+	n.Priority = min(n.Priority, o.Priority)
+	n.Waiting += o.Waiting
+	n.InTime += o.InTime
+	n.Inflight += o.Inflight
+	n.Arrived += o.Arrived
+	n.Starting += o.Starting
+	return n
+}
+
+// dueBefore reports whether the waiting requests of a are due before those of b. Requests that
+// can still meet their objective come before late ones.
+func dueBefore(a, b NeedReport) bool {
+	switch {
+	case a.Waiting == 0:
+		return false
+	case b.Waiting == 0:
+		return true
+	case (a.InTime > 0) != (b.InTime > 0):
+		return a.InTime > 0
+	default:
+		return a.DueIn < b.DueIn
+	}
+}
+
+// Due returns the time that DueIn denotes, given when the report was received.
+func (n NeedReport) Due(now time.Time) time.Time {
+	return now.Add(time.Duration(n.DueIn) * time.Millisecond)
+}
--- /dev/null
+++ b/pkg/fleet/quarantine.go
@@ -0,0 +1,119 @@
+package fleet
+
+import (
+	"cmp"
+	"crypto/sha256"
+	"encoding/binary"
+	"strconv"
+	"time"
+)
+
+// Fingerprint identifies repeated requests: a client may send the same request again with
+// another attempt ID, and to another host.
+type Fingerprint struct {
+	// Content is a digest of the request content that the endpoint processes; 0 if unknown.
+	Content uint64 `cbor:"1,keyasint"`
+	// Caller is a digest of the caller's identity.
+	Caller uint64 `cbor:"2,keyasint"`
+}
+
+// NewFingerprint returns the fingerprint of a request with the given parts. The digest is
+// cryptographic, so that a caller cannot construct a request with the fingerprint of another.
+func NewFingerprint(caller string, content ...string) Fingerprint {
+	return Fingerprint{Content: digest(content...), Caller: digest(caller)}
+}
+
+func digest(parts ...string) uint64 {
+	h := sha256.New()
+	for _, p := range parts {
+		var size [8]byte
+		binary.BigEndian.PutUint64(size[:], uint64(len(p)))
+		h.Write(size[:]) // Writes to a hash never fail.
+		h.Write([]byte(p))
+	}
+	return max(1, binary.BigEndian.Uint64(h.Sum(nil)))
+}
+
+// Hex formats a digest for logs and store keys.
+func Hex(digest uint64) string { return strconv.FormatUint(digest, 16) }
+
+// Crash records that an endpoint crashed while it ran a request.
+type Crash struct {
+	Request  Fingerprint `cbor:"1,keyasint"`
+	Endpoint EndpointID  `cbor:"2,keyasint"`
+	// Ago is the age of the crash in milliseconds.
+	Ago int64 `cbor:"3,keyasint,omitempty"`
+	// Copy identifies the copy of the request that ran on the endpoint; 0 if unknown.
+	Copy CopyID `cbor:"4,keyasint,omitempty"`
+}
+
+// CopyID is a digest of an attempt ID. It is never 0.
+type CopyID uint32
+
+// NewCopyID returns the digest of an attempt ID.
+func NewCopyID(attempt string) CopyID { return CopyID(max(1, uint32(digest(attempt)))) }
+
+// At returns the time of the crash, given when the record was received.
+func (c Crash) At(now time.Time) time.Time {
+	return now.Add(-time.Duration(c.Ago) * time.Millisecond)
+}
+
+// Block excludes a request from all endpoints because it crashes them. A block with Suspect
+// set only restricts the request to a trial.
+type Block struct {
+	Request BlockedRequest `cbor:"1,keyasint"`
+	// Since is the time of detection in Unix seconds.
+	Since int64 `cbor:"2,keyasint"`
+	// Suspect requests are not blocked but on trial: one copy runs at a time.
+	Suspect bool  `cbor:"3,keyasint,omitempty"`
+	Trial   Trial `cbor:"4,keyasint,omitempty"`
+}
+
+// Trial is the progress of a suspect request's trial. Hosts resolve conflicting states by
+// round, stage and host, so that they converge in any order of delivery.
+type Trial struct {
+	// Round numbers the copies that are run one after the other.
+	Round int64      `cbor:"1,keyasint"`
+	Stage TrialStage `cbor:"2,keyasint"`
+	// Host is the incarnation of the host that requests or holds the turn of this round.
+	Host string `cbor:"3,keyasint,omitempty"`
+	// EndedAgo is the time in milliseconds since an endpoint last crashed while it ran the
+	// request.
+	EndedAgo int64 `cbor:"4,keyasint,omitempty"`
+}
+
+// TrialStage is the stage of a trial's current round.
+type TrialStage int
+
+// The stages of a round, in order.
+const (
+	// TrialHeld means that no copy may run.
+	TrialHeld TrialStage = iota
+	// TrialAsked means that a host has a waiting copy and requests the turn.
+	TrialAsked
+	// TrialGranted means that one copy may run, at one host.
+	TrialGranted
+	// TrialCleared means that the trial is over: a copy was answered and its endpoint did not
+	// crash.
+	TrialCleared
+)
+
+// String returns the name of the stage for logs.
+func (s TrialStage) String() string {
+	return [...]string{"held", "asked", "granted", "cleared"}[min(max(s, TrialHeld), TrialCleared)]
+}
+
+// After reports whether t supersedes o.
+func (t Trial) After(o Trial) bool {
+	return cmp.Or(cmp.Compare(t.Round, o.Round), cmp.Compare(t.Stage, o.Stage), cmp.Compare(t.Host, o.Host)) > 0
+}
+
+// BlockedRequest identifies the requests that a block applies to.
+type BlockedRequest struct {
+	Content uint64 `cbor:"1,keyasint"`
+	// Caller is the digest of the caller, or AnyCaller if several callers sent the request.
+	Caller uint64 `cbor:"2,keyasint,omitempty"`
+}
+
+// AnyCaller in a BlockedRequest matches all callers.
+const AnyCaller = 0
--- a/pkg/fleet/store.go
+++ b/pkg/fleet/store.go
@@ -9,37 +9,39 @@
 )
 
 var (
-	// ErrStoreRejected means that a call to the store certainly had no effect.
-	ErrStoreRejected = errors.New("rejected by the store")
-	// ErrStoreUnavailable means that no answer came: the call may take effect.
-	ErrStoreUnavailable = errors.New("no answer from the store")
-	// ErrStoreConflict means that the topic has grown past the expected offset.
-	ErrStoreConflict = errors.Wrap(ErrStoreRejected, "topic has grown")
+	// ErrStoreRejected means that a call had no effect on the store.
+	ErrStoreRejected = errors.New("store rejected the call")
+	// ErrStoreUnavailable means that the store did not respond; the call may still take
+	// effect.
+	ErrStoreUnavailable = errors.New("store did not respond; the call may have taken effect")
+	// ErrStoreConflict means that the topic already has an entry at the expected offset.
+	ErrStoreConflict = errors.Wrap(ErrStoreRejected, "topic already has an entry at the expected offset")
 )
 
 // Topic is one keyed topic of the platform's store.
 type Topic int
 
-// The topics that a host reads; it writes only to the last three.
+// The topics that a host reads. A host writes only to TopicHosts, TopicClaims and
+// TopicCrashes.
 const (
 	// TopicConfig holds the operator's configuration.
 	TopicConfig Topic = iota
 	// TopicEndpoints holds an entry for each endpoint.
 	TopicEndpoints
-	// TopicHosts holds address and key of each entry host.
+	// TopicHosts holds the address and certificate fingerprint of each entry host.
 	TopicHosts
-	// TopicClaims holds the claims to give orders.
+	// TopicClaims holds the claims to the controller role.
 	TopicClaims
 	// TopicCrashes holds the requests that crash endpoints.
 	TopicCrashes
 )
 
-// String implements fmt.Stringer, for logs.
+// String implements fmt.Stringer.
 func (t Topic) String() string {
 	return [...]string{"config", "endpoints", "hosts", "claims", "crashes"}[t]
 }
 
-// Entry is a record of a keyed topic. An entry without a value removes the key.
+// Entry is a record of a keyed topic. An entry without a value deletes the key.
 type Entry struct {
 	Key    string
 	Value  []byte
@@ -49,11 +51,11 @@
 // Batch is the result of a read.
 type Batch struct {
 	Entries []Entry
-	// Next is the offset to read from next.
+	// Next is the offset of the next read.
 	Next int64
 }
 
-// CompactedError is returned by Read when the records asked for are gone.
+// CompactedError is returned by Read if the requested records have been compacted.
 type CompactedError struct {
 	// First is the first offset that can be read.
 	First int64
@@ -61,26 +63,27 @@
 
 // Error implements error.
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("records are gone; the first readable offset is %d", e.First)
+	return fmt.Sprintf("records compacted; the first readable offset is %d", e.First)
 }
 
-// AnyOffset appends without a condition.
+// AnyOffset makes Put append unconditionally.
 const AnyOffset = -1
 
 // Store is the platform's store of keyed topics.
 type Store interface {
-	// Newest returns the newest entry of each key and where to read on.
+	// Newest returns the newest entry of each key and the offset to continue from.
 	Newest(ctx context.Context, t Topic) (Batch, error)
-	// Read returns entries from an offset on. Without any it waits up to wait.
+	// Read returns the entries from an offset on. If there are none, it blocks for up to wait.
 	Read(ctx context.Context, t Topic, from int64, wait time.Duration) (Batch, error)
-	// Put appends an entry, at an expected offset if that is not AnyOffset, and
-	// returns its offset.
+	// Put appends an entry and returns its offset. Unless at is AnyOffset, the append succeeds
+	// only at that offset.
 	Put(ctx context.Context, t Topic, key string, value []byte, at int64) (int64, error)
 }
 
-// Codec decodes what the operator and the endpoints write to the store.
+// Codec decodes the entries that the operator and the endpoints write to the store.
 type Codec interface {
-	// Config decodes a configuration; key tells whether the entry is one.
+	// Config decodes a configuration. isConfig reports whether the key of the entry is that of
+	// a configuration.
 	Config(e Entry) (cfg *Config, isConfig bool, err error)
 	// Endpoint decodes an endpoint's entry.
 	Endpoint(e Entry) (Endpoint, error)
