--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -13,42 +13,42 @@
 	"github.com/tealvane/tealvane/pkg/follow"
 )
 
-// answerTime is how long the store takes to answer.
-const answerTime = 4 * time.Millisecond
+// responseTime is the latency of the store.
+const responseTime = 4 * time.Millisecond
 
-// store answers reads of some topics and fails those of others. It counts calls.
+// store responds to reads of some topics and fails those of others. It counts calls.
 type store struct {
-	mu    sync.Mutex
-	away  map[fleet.Topic]bool
-	calls map[fleet.Topic]int
-	// written is until when another entry is written every few milliseconds.
-	written time.Time
+	mu          sync.Mutex
+	unavailable map[fleet.Topic]bool
+	calls       map[fleet.Topic]int
+	// busyUntil is the time up to which each read returns a new entry.
+	busyUntil time.Time
 }
 
-func newStore(away ...fleet.Topic) *store {
-	s := &store{away: map[fleet.Topic]bool{}, calls: map[fleet.Topic]int{}}
-	for _, t := range away {
-		s.away[t] = true
+func newStore(unavailable ...fleet.Topic) *store {
+	s := &store{unavailable: map[fleet.Topic]bool{}, calls: map[fleet.Topic]int{}}
+	for _, t := range unavailable {
+		s.unavailable[t] = true
 	}
 	return s
 }
 
 func (s *store) call(ctx context.Context, t fleet.Topic) error {
-	time.Sleep(answerTime)
+	time.Sleep(responseTime)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[t]++
-	if s.away[t] {
+	if s.unavailable[t] {
 		return fleet.ErrStoreUnavailable
 	}
 	return ctx.Err()
 }
 
-func (s *store) back(topics ...fleet.Topic) {
+func (s *store) restore(topics ...fleet.Topic) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range topics {
-		delete(s.away, t)
+		delete(s.unavailable, t)
 	}
 }
 
@@ -70,7 +70,7 @@
 	if err := s.call(ctx, t); err != nil {
 		return fleet.Batch{}, err
 	}
-	if time.Now().Before(s.written) {
+	if time.Now().Before(s.busyUntil) {
 		return fleet.Batch{Entries: []fleet.Entry{{Key: "k"}}}, nil
 	}
 	select {
@@ -84,7 +84,7 @@
 	return 0, s.call(ctx, t)
 }
 
-// follower returns a follower of a topic whose entries go nowhere.
+// follower returns a follower of a topic that discards the entries.
 func follower(s fleet.Store, state *follow.State, t fleet.Topic) *follow.Follower {
 	return &follow.Follower{
 		Store:  s,
@@ -97,15 +97,15 @@
 	}
 }
 
-// end stops all loops of a bubble and lets calls in flight end: a call that still waits
-// for its answer would outlive the test.
-func end(cancel context.CancelFunc) {
+// stop ends all loops of a synctest bubble and waits for calls in flight, which must not
+// outlive the test.
+func stop(cancel context.CancelFunc) {
 	cancel()
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
 
-// run follows a topic with pauses, or with reads that wait if pause is nil.
+// run follows a topic with the given pause, or with long polls if pause is nil.
 func run(ctx context.Context, s fleet.Store, state *follow.State, t fleet.Topic, pause func() time.Duration) {
 	f := follower(s, state, t)
 	f.Pause = pause
@@ -115,10 +115,9 @@
 	go f.Run(ctx)
 }
 
-// The store is away and comes back topic by topic. Until the list of endpoints can be
-// read, reads of the other topics do not wait at the store; each was followed by the
-// next at once, and sixty hosts made tens of thousands of calls until it could.
-func TestNoStormWhileTheListIsAway(t *testing.T) {
+// Guards against a storm of reads while the endpoint list is unavailable. Reads of other
+// topics return at once during that time and must not follow each other without a pause.
+func TestReadsArePacedWhileEndpointListIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		topics := []fleet.Topic{fleet.TopicConfig, fleet.TopicHosts, fleet.TopicClaims}
@@ -130,30 +129,29 @@
 			run(ctx, s, state, topic, nil)
 		}
 		time.Sleep(3 * time.Second)
-		s.back(topics...)
+		s.restore(topics...)
 		before := s.count()
 		time.Sleep(10 * time.Second)
-		is.True(s.count()-before < 120) // three topics at awayPause, and the list
-		s.back(fleet.TopicEndpoints)
+		is.True(s.count()-before < 120) // three topics at unavailablePause, and the list
+		s.restore(fleet.TopicEndpoints)
 		time.Sleep(time.Second)
 		before = s.count()
 		time.Sleep(10 * time.Second)
 		is.True(s.count()-before < 20) // long polls and the list
-		end(cancel)
+		stop(cancel)
 	})
 }
 
-// What a pause depends on changes while a host rests: the controller that confirmed its
-// list of endpoints falls silent. A host that slept its pause out would send requests
-// to an endpoint that left ten seconds ago.
-func TestPauseIsLookedAtAgain(t *testing.T) {
+// Guards against sleeping through a long pause after its reason has ended, for example when
+// the controller that confirms the endpoint list falls silent.
+func TestPauseIsReevaluated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStore()
 		ctx, cancel := context.WithCancel(t.Context())
-		silent := time.Now().Add(3 * time.Second)
+		silentAt := time.Now().Add(3 * time.Second)
 		run(ctx, s, follow.NewState(), fleet.TopicEndpoints, func() time.Duration {
-			if time.Now().Before(silent) {
+			if time.Now().Before(silentAt) {
 				return 10 * time.Second
 			}
 			return 700 * time.Millisecond
@@ -162,13 +160,13 @@
 		is.Equal(s.count(), 1)
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(s.count(), 2)
-		end(cancel)
+		stop(cancel)
 	})
 }
 
-// A loop has gone wrong and calls the store as fast as it answers. The platform must
-// not pay for more than the bound, and a claim must not wait behind such calls.
-func TestCallsAreBoundedForAnyLoop(t *testing.T) {
+// Guards against a loop that calls the store without a pause. The rate of calls must stay
+// bounded, and a claim must not wait behind the reads.
+func TestCallRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStore()
@@ -186,46 +184,45 @@
 		start := time.Now()
 		_, err := calls.Put(ctx, fleet.TopicClaims, "k", nil, 0)
 		is.NoErr(err)
-		is.Equal(time.Since(start), answerTime)
-		end(cancel)
+		is.Equal(time.Since(start), responseTime)
+		stop(cancel)
 	})
 }
 
-// Sixty hosts start together, and each writes an entry. Every host was woken by nearly
-// every entry, and the platform was charged for thousands of reads in a second.
-func TestEntriesThatComeTogetherAreReadTogether(t *testing.T) {
+// Guards against one read per entry when many hosts write their entries at about the same
+// time.
+func TestBurstOfEntriesIsReadInBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStore()
-		s.written = time.Now().Add(300 * time.Millisecond)
+		s.busyUntil = time.Now().Add(300 * time.Millisecond)
 		ctx, cancel := context.WithCancel(t.Context())
 		f := follower(s, follow.NewState(), fleet.TopicHosts)
 		f.Wait = 15 * time.Second
 		f.Gather = func() time.Duration { return 250 * time.Millisecond }
 		go f.Run(ctx)
 		time.Sleep(2 * time.Second)
-		is.True(s.count() <= 4) // the newest, two with entries, the one that waits
-		end(cancel)
+		is.True(s.count() <= 4) // the newest entries, two reads with entries, one pending read
+		stop(cancel)
 	})
 }
 
-// A host stops cleanly, which ends its reads. Its log said three times that the store
-// was lost, and an engineer went to look for an outage.
-func TestStopIsNoLossOfTheStore(t *testing.T) {
+// Guards against logging a store outage when a host shuts down and cancels its reads.
+func TestShutdownIsNotReportedAsStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		f := follower(newStore(), follow.NewState(), fleet.TopicHosts)
 		f.Wait = 15 * time.Second
-		lost := 0
+		failures := 0
 		f.Result = func(err error) {
 			if err != nil {
-				lost++
+				failures++
 			}
 		}
 		go f.Run(ctx)
 		time.Sleep(time.Second)
-		end(cancel)
-		is.Equal(lost, 0)
+		stop(cancel)
+		is.Equal(failures, 0)
 	})
 }
--- a/pkg/follow/follower.go
+++ b/pkg/follow/follower.go
@@ -11,81 +11,78 @@
 )
 
 const (
-	// retryMin is the pause after a call that failed; it doubles with each further
-	// one up to retryMax. Calls that the store refuses have a price too, and other
-	// hosts tell meanwhile what changes.
-	retryMin = 250 * time.Millisecond
-	retryMax = 1500 * time.Millisecond
-	// listRetryMax is the same for the list of endpoints, whose reads find out that
-	// the store is back.
-	listRetryMax = 700 * time.Millisecond
-	// awayPause is the pause after a read that succeeds while the list cannot be read.
-	// Such reads do not wait at the store, so that each answer would be followed by the next
-	// read.
-	awayPause = 500 * time.Millisecond
-	// recheck is how often a pause is looked at again: what it depends on changes
-	// with time alone, as when the word of another host gets too old.
-	recheck = 250 * time.Millisecond
-	// toldPoll is how often a topic is read that another host passes on.
-	toldPoll = time.Minute
+	// minBackoff is the backoff after a failed call. It doubles with each further failure up
+	// to maxBackoff.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 1500 * time.Millisecond
+	// maxListBackoff replaces maxBackoff for the endpoint list, whose reads detect the end of
+	// a store outage.
+	maxListBackoff = 700 * time.Millisecond
+	// unavailablePause is the pause after a successful read while the endpoint list is
+	// unavailable. Reads do not block at the store during that time.
+	unavailablePause = 500 * time.Millisecond
+	// recheckInterval is how often the conditions of a pause are evaluated again, since they
+	// also change with time.
+	recheckInterval = 250 * time.Millisecond
+	// relayedPollInterval is the interval between reads of a topic that another host relays.
+	relayedPollInterval = time.Minute
 )
 
-// Follower reads one topic to its end again and again.
+// Follower reads a topic repeatedly and delivers its entries.
 type Follower struct {
 	Store fleet.Store
 	State *State
 	Log   *slog.Logger
 	Topic fleet.Topic
-	// Wait is how long a read waits at the store for records, 0 not at all.
+	// Wait is how long a read may block at the store for new entries; 0 disables blocking.
 	Wait time.Duration
-	// Pause is how long to rest after a read; nil rests only while the list of
-	// endpoints cannot be read. Wake ends the pause early.
+	// Pause returns the pause after a read. If it is nil, the follower pauses only while the
+	// endpoint list is unavailable. A receive from Wake ends the pause early.
 	Pause func() time.Duration
 	Wake  <-chan struct{}
-	// WakePause is the least pause before Wake ends it: many things may wake a host that
-	// has just read.
+	// WakePause is the minimum pause before Wake may end it, so that frequent wakes do not
+	// cause a read each.
 	WakePause time.Duration
-	// FailedPause is the least pause after a read that failed; nil is none.
+	// FailedPause returns the minimum pause after a failed read; nil means no minimum.
 	FailedPause func() time.Duration
-	// Told tells whether another host passes on what the topic brings, so that it need
-	// not be read: only every toldPoll, lest a mistake in what is passed on stays. It may
-	// be nil.
+	// Told reports whether another host relays the topic. It is then read only every
+	// relayedPollInterval, to correct errors of the relay. It may be nil.
 	Told func() bool
-	// Gather is how long to rest after a read that brought entries, so that those
-	// which come one after the other are read together: sixty hosts that start
-	// together write as many entries, and each host was woken by nearly every one.
+	// Gather returns the pause after a read that returned entries, so that entries written
+	// shortly after each other are read together. It may be nil.
 	Gather func() time.Duration
-	// Reset takes in the newest entries of all keys, Apply those that follow.
+	// Reset receives the newest entries of all keys, Apply the entries that follow.
 	Reset func(fleet.Batch)
 	Apply func(fleet.Batch)
-	// Result is told how each read went, Failed is called after one without answer.
+	// Result receives the result of each read. Failed, if not nil, is called after each failed
+	// read.
 	Result func(err error)
 	Failed func(ctx context.Context)
 }
 
-// errReadAgain means that a read was ended because the store is back.
-var errReadAgain = errors.New("read ended by the return of the store")
+// errReadInterrupted means that a read was cancelled because the store is available again.
+var errReadInterrupted = errors.New("read cancelled: the store is available again")
 
-// Run follows the topic until ctx ends.
+// Run reads the topic until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	next := int64(-1)
-	backoff := retryMin
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		fresh := next < 0
-		if !fresh {
-			f.restWhileTold(ctx)
+		initial := next < 0
+		if !initial {
+			f.pauseWhileRelayed(ctx)
 		}
 		batch, err := f.read(ctx, next)
 		var compacted *fleet.CompactedError
 		switch {
 		case errors.As(err, &compacted):
-			f.Log.Info("records are gone from the store", "topic", f.Topic, "from", next, "first", compacted.First)
+			f.Log.Info("store records compacted; reading the newest entries", "topic", f.Topic, "from", next, "first", compacted.First)
 			next = -1
 			continue
-		case errors.Is(err, errReadAgain):
+		case errors.Is(err, errReadInterrupted):
 			continue
 		case err != nil && ctx.Err() != nil:
-			return // This host stops; the store is not lost.
+			return // Shutdown is not a store outage.
 		}
 		f.Result(err)
 		if err != nil {
@@ -93,15 +90,15 @@
 				f.Failed(ctx)
 			}
 			if f.FailedPause != nil {
-				f.restOrBack(ctx, max(backoff, f.FailedPause()))
+				f.pauseUntilRestored(ctx, max(backoff, f.FailedPause()))
 			} else {
-				f.restOrBack(ctx, backoff)
+				f.pauseUntilRestored(ctx, backoff)
 			}
-			backoff = min(2*backoff, f.retryMax())
+			backoff = min(2*backoff, f.maxBackoff())
 			continue
 		}
-		backoff = retryMin
-		if fresh {
+		backoff = minBackoff
+		if initial {
 			f.Reset(batch)
 		} else {
 			f.Apply(batch)
@@ -110,15 +107,16 @@
 		if len(batch.Entries) > 0 && f.Gather != nil {
 			wait.For(ctx, f.Gather())
 		}
-		f.rest(ctx)
+		f.pauseAfterRead(ctx)
 	}
 }
 
-// restWhileTold rests while another host passes on what the topic brings.
-func (f *Follower) restWhileTold(ctx context.Context) {
+// pauseWhileRelayed blocks while another host relays the topic, for at most
+// relayedPollInterval.
+func (f *Follower) pauseWhileRelayed(ctx context.Context) {
 	start := time.Now()
-	for f.Told != nil && f.Told() && time.Since(start) < toldPoll && ctx.Err() == nil {
-		wait.For(ctx, recheck)
+	for f.Told != nil && f.Told() && time.Since(start) < relayedPollInterval && ctx.Err() == nil {
+		wait.For(ctx, recheckInterval)
 	}
 }
 
@@ -126,70 +124,70 @@
 	if next < 0 {
 		return f.Store.Newest(ctx, f.Topic)
 	}
-	return f.readOn(ctx, next)
+	return f.readNext(ctx, next)
 }
 
-// readOn reads what follows. A read that began while the store was silent hangs
-// for its whole wait, long after the store is back; a host would not hear of a
-// new configuration meanwhile. So it does not wait while the store is away, and
-// ends when another read shows that the store is back.
-func (f *Follower) readOn(ctx context.Context, next int64) (fleet.Batch, error) {
-	away, back := f.State.ListAway()
-	if f.Wait == 0 || away {
+// readNext reads the entries from next on. A read that started during a store outage may block
+// for its whole wait after the store is available again. readNext therefore does not block
+// while the store is unavailable, and cancels a blocked read when another read shows the end
+// of the outage.
+func (f *Follower) readNext(ctx context.Context, next int64) (fleet.Batch, error) {
+	unavailable, restored := f.State.ListAway()
+	if f.Wait == 0 || unavailable {
 		return f.Store.Read(ctx, f.Topic, next, 0)
 	}
-	wait, cancel := context.WithCancel(ctx)
+	readCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-back:
+		case <-restored:
 			cancel()
-		case <-wait.Done():
+		case <-readCtx.Done():
 		}
 	}()
-	batch, err := f.Store.Read(wait, f.Topic, next, f.Wait)
-	if err != nil && wait.Err() != nil && ctx.Err() == nil {
-		return fleet.Batch{}, errReadAgain
+	batch, err := f.Store.Read(readCtx, f.Topic, next, f.Wait)
+	if err != nil && readCtx.Err() != nil && ctx.Err() == nil {
+		return fleet.Batch{}, errReadInterrupted
 	}
 	return batch, err
 }
 
-func (f *Follower) retryMax() time.Duration {
+func (f *Follower) maxBackoff() time.Duration {
 	if f.Topic == fleet.TopicEndpoints {
-		return listRetryMax
+		return maxListBackoff
 	}
-	return retryMax
+	return maxBackoff
 }
 
-// rest is the pause after a read that succeeded.
-func (f *Follower) rest(ctx context.Context) {
+// pauseAfterRead pauses after a successful read.
+func (f *Follower) pauseAfterRead(ctx context.Context) {
 	if f.Pause == nil {
-		if away, _ := f.State.ListAway(); away {
-			f.restOrBack(ctx, awayPause)
+		if unavailable, _ := f.State.ListAway(); unavailable {
+			f.pauseUntilRestored(ctx, unavailablePause)
 		}
 		return
 	}
 	start := time.Now()
-	spread := wait.Jitter(time.Second).Seconds() // One factor for the whole rest.
+	jitter := wait.Jitter(time.Second).Seconds() // The same factor applies to the whole pause.
 	for {
-		rested := time.Since(start)
-		left := time.Duration(spread*float64(f.Pause())) - rested
+		elapsed := time.Since(start)
+		remaining := time.Duration(jitter*float64(f.Pause())) - elapsed
 		wake := f.Wake
-		if rested < f.WakePause {
+		if elapsed < f.WakePause {
 			wake = nil
-			left = min(left, f.WakePause-rested)
+			remaining = min(remaining, f.WakePause-elapsed)
 		}
-		if left <= 0 || !wait.Or(ctx, min(left, recheck), wake) {
+		if remaining <= 0 || !wait.Or(ctx, min(remaining, recheckInterval), wake) {
 			return
 		}
 	}
 }
 
-// restOrBack waits, until the store is back at the latest.
-func (f *Follower) restOrBack(ctx context.Context, d time.Duration) {
-	var back <-chan struct{}
+// pauseUntilRestored pauses for about d, or until the end of a store outage if that is sooner.
+func (f *Follower) pauseUntilRestored(ctx context.Context, d time.Duration) {
+	var restored <-chan struct{}
 	if f.Topic != fleet.TopicEndpoints {
-		_, back = f.State.ListAway()
+		_, restored = f.State.ListAway()
 	}
-	wait.Or(ctx, wait.Jitter(d), back)
+	wait.Or(ctx, wait.Jitter(d), restored)
 }
--- a/pkg/follow/state.go
+++ b/pkg/follow/state.go
@@ -1,5 +1,5 @@
-// Package follow reads the topics of the platform's store to their end, again and
-// again, and spares its calls: each has a price, and all hosts share the store.
+// Package follow reads the topics of the platform's store continuously and limits the rate of
+// calls to it.
 package follow
 
 import (
@@ -9,80 +9,81 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// State is how a host's reads of each topic went. It is safe for concurrent use.
+// State tracks the results of a host's reads by topic. It is safe for concurrent use.
 type State struct {
 	mu     sync.Mutex
 	topics map[fleet.Topic]*topicState
-	// back is closed, and made anew, when the list of endpoints can be read again.
-	back chan struct{}
+	// restored is closed and replaced when the endpoint list becomes available again.
+	restored chan struct{}
 }
 
 type topicState struct {
-	loaded bool
-	away   bool
-	answer time.Time
+	loaded      bool
+	unavailable bool
+	lastAnswer  time.Time
 }
 
-// NewState returns the state of a host that has read nothing.
+// NewState returns the state of a host that has not read any topic.
 func NewState() *State {
-	return &State{topics: map[fleet.Topic]*topicState{}, back: make(chan struct{})}
+	return &State{topics: map[fleet.Topic]*topicState{}, restored: make(chan struct{})}
 }
 
 func (s *State) topic(t fleet.Topic) *topicState {
-	x := s.topics[t]
-	if x == nil {
-		x = &topicState{}
-		s.topics[t] = x
+	state := s.topics[t]
+	if state == nil {
+		state = &topicState{}
+		s.topics[t] = state
 	}
-	return x
+	return state
 }
 
-// Answered notes a call's result and tells whether the store was lost or regained
-// by it.
+// Answered records the result of a read of a topic. It reports whether the availability of the
+// topic has changed.
 func (s *State) Answered(t fleet.Topic, now time.Time, err error) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x := s.topic(t)
-	away := err != nil
-	changed = x.away != away
-	x.away = away
-	if changed && !away && t == fleet.TopicEndpoints {
-		close(s.back)
-		s.back = make(chan struct{})
+	state := s.topic(t)
+	unavailable := err != nil
+	changed = state.unavailable != unavailable
+	state.unavailable = unavailable
+	if changed && !unavailable && t == fleet.TopicEndpoints {
+		close(s.restored)
+		s.restored = make(chan struct{})
 	}
-	if !away {
-		x.answer = now
-		x.loaded = true
+	if !unavailable {
+		state.lastAnswer = now
+		state.loaded = true
 	}
 	return changed
 }
 
-// ListAway tells whether the list of endpoints cannot be read, and returns a
-// channel that is closed when it can be read again. The list is read most often, so
-// that it shows first what becomes of the store.
+// ListAway reports whether the endpoint list is unavailable. The returned channel is closed
+// when the list becomes available again. The list is read most often, so that it indicates the
+// state of the store first.
 func (s *State) ListAway() (bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.topic(fleet.TopicEndpoints).away, s.back
+	return s.topic(fleet.TopicEndpoints).unavailable, s.restored
 }
 
-// Loaded tells whether a topic was ever read.
+// Loaded reports whether the content of a topic is known, from a read or from another host.
 func (s *State) Loaded(t fleet.Topic) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.topic(t).loaded
 }
 
-// SetLoaded notes that another host has told what a topic holds.
+// SetLoaded records that another host has sent the content of a topic.
 func (s *State) SetLoaded(t fleet.Topic) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topic(t).loaded = true
 }
 
-// LastAnswer is when the store last answered a read of a topic, zero if never.
+// LastAnswer returns the time of the last successful read of a topic, or the zero time if
+// there was none.
 func (s *State) LastAnswer(t fleet.Topic) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.topic(t).answer
+	return s.topic(t).lastAnswer
 }
--- a/pkg/follow/rest_test.go
+++ b/pkg/follow/wake_test.go
@@ -15,34 +15,30 @@
 // countingStore counts reads.
 type countingStore struct{ reads int }
 
-// Newest implements fleet.Store.
 func (s *countingStore) Newest(context.Context, fleet.Topic) (fleet.Batch, error) {
 	s.reads++
 	return fleet.Batch{}, nil
 }
 
-// Read implements fleet.Store.
 func (s *countingStore) Read(context.Context, fleet.Topic, int64, time.Duration) (fleet.Batch, error) {
 	s.reads++
 	return fleet.Batch{}, nil
 }
 
-// Put implements fleet.Store.
 func (s *countingStore) Put(context.Context, fleet.Topic, string, []byte, int64) (int64, error) {
 	return 0, nil
 }
 
-// Another host tells of changes again and again, and each wakes the reader of the list. Woken
-// at once each time it reads twenty times a second; kept from waking for longer than its
-// pause it reads less often than it has to, and a controller decides by an old list.
-func TestWakingReadsKeepApart(t *testing.T) {
+// Guards against too frequent reads when the follower is woken again and again, and against a
+// WakePause that extends a shorter Pause.
+func TestWakeRespectsMinimumPause(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		pause time.Duration
 		want  int
 	}{
-		{"a long pause is cut short, not below the least", time.Minute, 4},
-		{"a pause shorter than the least holds", 100 * time.Millisecond, 20},
+		{"long pause ends at the minimum", time.Minute, 4},
+		{"pause below the minimum is kept", 100 * time.Millisecond, 20},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -66,7 +62,7 @@
 					}
 				}()
 				f.Run(ctx)
-				time.Sleep(100 * time.Millisecond) // the waker ends
+				time.Sleep(100 * time.Millisecond) // let the waking goroutine exit
 				is.True(store.reads >= c.want*3/4 && store.reads <= c.want*4/3)
 			})
 		})
