--- a/pkg/peer/frame.go
+++ b/pkg/peer/frame.go
@@ -8,8 +8,8 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// ErrMessage is returned for a message that is too large or malformed.
-var ErrMessage = errors.New("bad peer message")
+// ErrMessage means that a message is too large or malformed.
+var ErrMessage = errors.New("invalid peer message")
 
 const frameHeaderBytes = 4
 
@@ -19,14 +19,14 @@
 		return errors.Wrap(err, "encode peer message")
 	}
 	if len(body) > maxMessageBytes {
-		return errors.Wrapf(ErrMessage, "%d bytes", len(body))
+		return errors.Wrapf(ErrMessage, "%d bytes, limit %d", len(body), maxMessageBytes)
 	}
 	frame := binary.BigEndian.AppendUint32(make([]byte, 0, frameHeaderBytes+len(body)), uint32(len(body)))
 	_, err = w.Write(append(frame, body...))
 	return err
 }
 
-// readFrame returns io.EOF when the stream ends before a frame.
+// readFrame reads one message. It returns io.EOF if the stream ends before the message starts.
 func readFrame(r io.Reader, v any) error {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -34,7 +34,7 @@
 	}
 	size := binary.BigEndian.Uint32(header[:])
 	if size > maxMessageBytes {
-		return errors.Wrapf(ErrMessage, "%d bytes", size)
+		return errors.Wrapf(ErrMessage, "%d bytes, limit %d", size, maxMessageBytes)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
--- a/pkg/peer/answer.go
+++ b/pkg/peer/handler.go
@@ -5,13 +5,13 @@
 	"github.com/tealvane/tealvane/pkg/external"
 )
 
-// HandlerResponder answers requests by a handler.
+// HandlerResponder returns a Responder that passes requests to a handler.
 func HandlerResponder(h Handler) Responder {
 	return func(r Request) []Response { return Answer(h, r) }
 }
 
-// Answer lets a handler answer a request. An unknown kind gets an empty answer,
-// an error none.
+// Answer passes a request to a handler and returns its responses. An unknown kind of request
+// gets one empty response; after an error of the handler there is no response.
 func Answer(h Handler, r Request) []Response {
 	switch {
 	case r.Usage != nil:
--- a/pkg/peer/message.go
+++ b/pkg/peer/message.go
@@ -1,5 +1,5 @@
-// Package peer carries messages between entry hosts over QUIC with mutual
-// TLS. One stream carries one request and its answer.
+// Package peer exchanges messages between entry hosts over QUIC with mutual TLS. Each stream
+// carries one request and its responses.
 package peer
 
 import (
@@ -11,90 +11,91 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// protocolVersion is the version that this build speaks.
+// protocolVersion is sent in each message.
 const protocolVersion = 1
 
-// maxMessageBytes bounds one message; a tail answer is the largest.
+// maxMessageBytes limits the size of one message; tail responses are the largest.
 const maxMessageBytes = 8 << 20
 
-// maxTail bounds the records of one tail answer, whatever was asked for.
+// maxTail limits the number of records in one tail response.
 const maxTail = 2000
 
-// Request is a message to another host. Exactly one body is set; a request
-// whose kind a host does not know gets an empty answer.
+// Request is a message to another host. Exactly one of its bodies is set. A host answers a
+// request of an unknown kind with an empty response.
 type Request struct {
 	Version  int          `cbor:"1,keyasint"`
 	Usage    *UsageReport `cbor:"2,keyasint,omitempty"`
 	Tail     *TailRequest `cbor:"3,keyasint,omitempty"`
 	Snapshot bool         `cbor:"4,keyasint,omitempty"`
 	Leave    *LeaveNotice `cbor:"5,keyasint,omitempty"`
-	// Pull tells demand on its way to the controller, and asks for what comes from it.
+	// Pull reports demand towards the controller and requests updates from it.
 	Pull *fleet.Pull `cbor:"9,keyasint,omitempty"`
-	// State asks for what the other host has read from the platform's store.
+	// State requests entries that the other host has read from the platform's store.
 	State *StateRequest `cbor:"8,keyasint,omitempty"`
-	// Known is set by the receiving node: the sender is a known host.
+	// Known is set by the receiving node if the sender is a known host.
 	Known bool `cbor:"-"`
 }
 
-// StateRequest asks for entries of the store beyond those that the asking host
-// has: it cannot reach the store itself.
+// StateRequest requests store entries newer than those of the requesting host, which cannot
+// reach the store itself.
 type StateRequest struct {
-	// ConfigVersion is the version of the configuration that the asker has.
+	// ConfigVersion is the configuration version of the requesting host.
 	ConfigVersion int64 `cbor:"1,keyasint"`
-	// EndpointsFrom is the offset from which the asker misses entries.
+	// EndpointsFrom is the first endpoint offset that the requesting host is missing.
 	EndpointsFrom int64 `cbor:"2,keyasint"`
 }
 
-// StateAnswer holds entries as they stand in the store.
+// StateAnswer holds entries as stored.
 type StateAnswer struct {
 	Config    *fleet.Entry  `cbor:"1,keyasint,omitempty"`
 	Endpoints []fleet.Entry `cbor:"2,keyasint,omitempty"`
-	// EndpointsNext is the offset up to which the entries are complete.
+	// EndpointsNext is the offset up to which Endpoints is complete.
 	EndpointsNext int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// UsageReport tells a pool's owner how a host uses its models.
+// UsageReport reports a host's usage of the models of a pool to the pool's owner.
 type UsageReport struct {
 	Host   string       `cbor:"1,keyasint"`
 	Pool   string       `cbor:"2,keyasint"`
 	Models []pool.Usage `cbor:"3,keyasint"`
 }
 
-// TailRequest asks for records from an offset on.
+// TailRequest requests the log records from an offset on.
 type TailRequest struct {
 	From  record.Offset `cbor:"1,keyasint"`
 	Limit int           `cbor:"2,keyasint"`
 }
 
-// LeaveNotice tells that endpoints are leaving.
+// LeaveNotice announces that endpoints are leaving.
 type LeaveNotice struct {
 	Endpoints []membership.Leave `cbor:"1,keyasint"`
 }
 
-// Response is one message of an answer; a snapshot takes several.
+// Response is one message of the answer to a request; a snapshot takes several.
 type Response struct {
 	Version int              `cbor:"1,keyasint"`
 	Entries []external.Entry `cbor:"2,keyasint,omitempty"`
-	// TrimmedFirst is set when the records asked for are no longer kept.
+	// TrimmedFirst is the first available offset if the requested records have been trimmed.
 	TrimmedFirst record.Offset    `cbor:"3,keyasint,omitempty"`
 	Chunk        *record.Snapshot `cbor:"4,keyasint,omitempty"`
-	// Claim is the newest claim to give orders that the answering host knows.
+	// Claim is the newest controller claim known to the responding host.
 	Claim *orders.Claim `cbor:"5,keyasint,omitempty"`
-	// Controlling tells whether the answering host holds that claim.
+	// Controlling reports whether the responding host holds that claim.
 	Controlling bool         `cbor:"6,keyasint,omitempty"`
 	State       *StateAnswer `cbor:"7,keyasint,omitempty"`
-	// ConfigVersion is the version of the configuration in force there.
+	// ConfigVersion is the configuration version in use at the responding host.
 	ConfigVersion int64 `cbor:"8,keyasint,omitempty"`
-	// HolderHeard is how many milliseconds ago the answering host has heard the
-	// holder of that claim.
+	// HolderHeard is the time in milliseconds since the responding host heard from the holder
+	// of that claim.
 	HolderHeard int64 `cbor:"9,keyasint,omitempty"`
-	// StoreAge is how many milliseconds ago the store answered that host.
+	// StoreAge is the time in milliseconds since the store last responded to that host.
 	StoreAge int64 `cbor:"10,keyasint,omitempty"`
-	// Notice answers a Pull; none comes where a newer one of the same host is answered.
+	// Notice is the response to a Pull. It is nil if a newer Pull of the same host replaced
+	// this one.
 	Notice *fleet.Notice `cbor:"11,keyasint,omitempty"`
 }
 
-// Handler answers the requests of other hosts.
+// Handler handles the requests of other hosts.
 type Handler interface {
 	HandleUsage(r UsageReport)
 	HandleLeave(l LeaveNotice)
--- a/pkg/peer/node.go
+++ b/pkg/peer/node.go
@@ -19,16 +19,17 @@
 	handshakeTimeout = time.Second
 	answerTimeout    = 5 * time.Second
 	maxPeerStreams   = 256
-	// maxSnapshotChunks bounds a snapshot to about a gigabyte.
+	// maxSnapshotChunks limits the size of a snapshot.
 	maxSnapshotChunks = 4096
 )
 
-// Node sends and answers messages of one host.
+// Node sends requests to other hosts and responds to theirs.
 type Node struct {
 	tls     *tls.Config
 	respond Responder
-	// known tells known hosts by their certificates; nil knows all.
-	known     func(Fingerprint) bool
+	// isKnown reports whether a certificate belongs to a isKnown host; if it is nil, all hosts
+	// are isKnown.
+	isKnown   func(Fingerprint) bool
 	transport *quic.Transport
 	listener  *quic.Listener
 
@@ -36,7 +37,7 @@
 	conns map[string]*quic.Conn
 }
 
-// Responder returns the messages that answer a request.
+// Responder returns the responses to a request.
 type Responder func(Request) []Response
 
 // Listen opens a node on a UDP address.
@@ -44,16 +45,16 @@
 	return open(addr, conf, conf, nil, respond)
 }
 
-// ListenPinned opens a node whose peers are known by their certificates.
-func ListenPinned(addr string, cert tls.Certificate, known func(Fingerprint) bool, respond Responder) (*Node, error) {
-	dial, accept := PinnedTLS(cert, known)
-	return open(addr, dial, accept, known, respond)
+// ListenPinned opens a node that identifies its peers by their certificates.
+func ListenPinned(addr string, cert tls.Certificate, isKnown func(Fingerprint) bool, respond Responder) (*Node, error) {
+	dial, accept := PinnedTLS(cert, isKnown)
+	return open(addr, dial, accept, isKnown, respond)
 }
 
-func open(addr string, dial, accept *tls.Config, known func(Fingerprint) bool, respond Responder) (*Node, error) {
+func open(addr string, dial, accept *tls.Config, isKnown func(Fingerprint) bool, respond Responder) (*Node, error) {
 	udpAddr, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer address")
+		return nil, errors.Wrap(err, "resolve listen address")
 	}
 	socket, err := net.ListenUDP("udp", udpAddr)
 	if err != nil {
@@ -61,7 +62,7 @@
 	}
 	n := &Node{
 		tls:       dial,
-		known:     known,
+		isKnown:   isKnown,
 		respond:   respond,
 		transport: &quic.Transport{Conn: socket},
 		conns:     map[string]*quic.Conn{},
@@ -82,22 +83,23 @@
 	}
 }
 
-// Forget drops the connection to an address at which another host now listens.
+// Forget removes the connection to an address, for use when another host has taken the address
+// over.
 func (n *Node) Forget(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, addr)
 }
 
-// Addr is the address that the node listens on.
+// Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// Close ends all connections.
+// Close closes the node and all its connections.
 func (n *Node) Close() error {
 	return errors.CombineErrors(n.listener.Close(), errors.CombineErrors(n.transport.Close(), n.transport.Conn.Close()))
 }
 
-// Serve answers requests until the node is closed.
+// Serve responds to requests until the node is closed or ctx is done.
 func (n *Node) Serve(ctx context.Context) {
 	for {
 		conn, err := n.listener.Accept(ctx)
@@ -118,13 +120,13 @@
 	}
 }
 
-// knows tells whether the other end of a connection is a known host.
-func (n *Node) knows(conn *quic.Conn) bool {
-	if n.known == nil {
+// isKnownPeer reports whether the remote end of a connection is a known host.
+func (n *Node) isKnownPeer(conn *quic.Conn) bool {
+	if n.isKnown == nil {
 		return true
 	}
 	certs := conn.ConnectionState().TLS.PeerCertificates
-	return len(certs) > 0 && n.known(sha256.Sum256(certs[0].Raw))
+	return len(certs) > 0 && n.isKnown(sha256.Sum256(certs[0].Raw))
 }
 
 func (n *Node) serveStream(conn *quic.Conn, stream *quic.Stream) {
@@ -135,7 +137,7 @@
 		stream.CancelWrite(0)
 		return
 	}
-	r.Known = n.knows(conn)
+	r.Known = n.isKnownPeer(conn)
 	for _, response := range n.respond(r) {
 		response.Version = protocolVersion
 		if writeFrame(stream, response) != nil {
@@ -145,7 +147,7 @@
 	}
 }
 
-// Send sends a request and returns the messages of its answer.
+// Send sends a request and returns the responses.
 func (n *Node) Send(ctx context.Context, addr string, r Request) ([]Response, error) {
 	r.Version = protocolVersion
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
@@ -173,22 +175,22 @@
 }
 
 func readAll(stream io.Reader) ([]Response, error) {
-	var all []Response
-	for len(all) <= maxSnapshotChunks {
+	var responses []Response
+	for len(responses) <= maxSnapshotChunks {
 		var r Response
 		err := readFrame(stream, &r)
-		if errors.Is(err, io.EOF) && len(all) > 0 {
-			return all, nil
+		if errors.Is(err, io.EOF) && len(responses) > 0 {
+			return responses, nil
 		}
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response")
 		}
-		all = append(all, r)
+		responses = append(responses, r)
 	}
-	return nil, errors.Wrap(ErrMessage, "answer is too long")
+	return nil, errors.Wrap(ErrMessage, "response has too many messages")
 }
 
-// dial returns the connection to a host, a new one if there is none.
+// dial returns the open connection to an address, or opens a new one.
 func (n *Node) dial(ctx context.Context, addr string) (*quic.Conn, error) {
 	n.mu.Lock()
 	conn := n.conns[addr]
@@ -198,7 +200,7 @@
 	}
 	udpAddr, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer address")
+		return nil, errors.Wrap(err, "resolve peer address")
 	}
 	conn, err = n.transport.Dial(ctx, udpAddr, n.tls, quicConfig())
 	if err != nil {
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -12,22 +12,22 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// fixed answers each request in the same way.
-type fixed struct {
+// fakeHandler returns fakeHandler responses.
+type fakeHandler struct {
 	usage chan UsageReport
 }
 
-func (f fixed) HandleUsage(r UsageReport) { f.usage <- r }
-func (fixed) HandleLeave(LeaveNotice)     {}
+func (f fakeHandler) HandleUsage(r UsageReport) { f.usage <- r }
+func (fakeHandler) HandleLeave(LeaveNotice)     {}
 
-func (fixed) HandleTail(r TailRequest) ([]external.Entry, error) {
+func (fakeHandler) HandleTail(r TailRequest) ([]external.Entry, error) {
 	if r.From < 10 {
 		return nil, &external.TrimmedError{First: 10}
 	}
 	return []external.Entry{{Offset: r.From, Data: []byte("x")}}, nil
 }
 
-func (fixed) HandleSnapshot() ([]record.Snapshot, error) {
+func (fakeHandler) HandleSnapshot() ([]record.Snapshot, error) {
 	return []record.Snapshot{{AsOf: 9, Count: 2}, {AsOf: 9, Index: 1, Count: 2}}, nil
 }
 
@@ -58,8 +58,8 @@
 func TestRequestsOverQUIC(t *testing.T) {
 	is := is.New(t)
 	id := identity(t)
-	handler := fixed{usage: make(chan UsageReport, 1)}
-	server, client := listen(t, id, handler), listen(t, id, fixed{})
+	handler := fakeHandler{usage: make(chan UsageReport, 1)}
+	server, client := listen(t, id, handler), listen(t, id, fakeHandler{})
 	_, err := client.Send(context.Background(), server.Addr(), Request{Usage: &UsageReport{Host: "h", Pool: "p"}})
 	is.NoErr(err)
 	is.Equal((<-handler.usage).Pool, "p")
@@ -75,26 +75,26 @@
 	is.NoErr(err)
 	is.Equal(len(chunks), 2)
 
-	// A request of a kind that this build does not know gets an empty answer.
+	// A request of an unknown kind gets an empty response.
 	answer, err := client.Send(context.Background(), server.Addr(), Request{})
 	is.NoErr(err)
 	is.Equal(len(answer), 1)
 }
 
-// A stranger on the network sends contracts or demand to an entry host. Its
-// certificate is from another authority, and no message of it is handled.
-func TestStrangerIsRefused(t *testing.T) {
+// Guards against handling requests of a sender whose certificate is signed by another
+// authority.
+func TestUntrustedCertificateIsRejected(t *testing.T) {
 	is := is.New(t)
-	handler := fixed{usage: make(chan UsageReport, 1)}
+	handler := fakeHandler{usage: make(chan UsageReport, 1)}
 	server := listen(t, identity(t), handler)
-	stranger := listen(t, identity(t), fixed{})
-	_, err := stranger.Send(context.Background(), server.Addr(), Request{Usage: &UsageReport{}})
+	untrusted := listen(t, identity(t), fakeHandler{})
+	_, err := untrusted.Send(context.Background(), server.Addr(), Request{Usage: &UsageReport{}})
 	is.True(err != nil)
 	is.Equal(len(handler.usage), 0)
 }
 
-// FuzzFrame feeds the decoder of peer messages with hostile bytes; sizes are
-// bounded before memory is taken.
+// FuzzFrame decodes arbitrary bytes. The frame size must be checked before memory is
+// allocated.
 func FuzzFrame(f *testing.F) {
 	var buffer bytes.Buffer
 	if err := writeFrame(&buffer, Request{Tail: &TailRequest{From: 3, Limit: 4}}); err != nil {
@@ -105,7 +105,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var request Request
 		if err := readFrame(bytes.NewReader(data), &request); err == nil {
-			Answer(fixed{usage: make(chan UsageReport, 1)}, request)
+			Answer(fakeHandler{usage: make(chan UsageReport, 1)}, request)
 		}
 		var response Response
 		_ = readFrame(bytes.NewReader(data), &response)
--- a/pkg/peer/reader.go
+++ b/pkg/peer/reader.go
@@ -9,26 +9,26 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// Sender sends requests to other hosts; Node is one.
+// Sender sends requests to other hosts. Node implements it.
 type Sender interface {
 	Send(ctx context.Context, addr string, r Request) ([]Response, error)
 }
 
-// Reader reads the log's tail from other hosts.
+// Reader reads the tail of the log from other hosts.
 type Reader struct {
 	Peers Sender
-	// Addrs returns the addresses of the other hosts, best first.
+	// Addrs returns the addresses of the other hosts in order of preference.
 	Addrs func() []string
 }
 
-// ErrNoPeer means that no other host answered.
-var ErrNoPeer = errors.Wrap(external.ErrUnavailable, "no peer answered")
+// ErrNoPeer means that no other host responded.
+var ErrNoPeer = errors.Wrap(external.ErrUnavailable, "no peer responded")
 
-// tailPoll is the pause between two reads from peers that had nothing new.
+// tailPoll is the interval between reads while the peers have no new records.
 const tailPoll = 50 * time.Millisecond
 
-// Read implements external.LogReader: it returns the longest tail that a host
-// has, since any of them may be behind.
+// Read implements external.LogReader. Hosts may lag behind, so it queries all of them and
+// returns the longest tail.
 func (r Reader) Read(ctx context.Context, from record.Offset, limit int, wait time.Duration) ([]external.Entry, error) {
 	end := time.Now().Add(wait)
 	for {
@@ -65,7 +65,7 @@
 	return best, err
 }
 
-// Snapshot returns the newest state among the other hosts, as chunks.
+// Snapshot returns the chunks of the newest snapshot among the other hosts.
 func (r Reader) Snapshot(ctx context.Context) ([]record.Snapshot, error) {
 	var best []record.Snapshot
 	for _, addr := range r.Addrs() {
--- a/pkg/peer/tls.go
+++ b/pkg/peer/tls.go
@@ -15,17 +15,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// serverName stands in every host's certificate. Hosts are replaced at any
-// time and known by IP number, so that the authority, not the name, tells a
-// peer from a stranger.
+// serverName is the name in every host's certificate. Peers are authenticated by the signing
+// authority or the certificate fingerprint, not by name.
 const serverName = "tealvane-peer"
 
 const alpn = "tealvane/1"
 
 const devValidity = 30 * 24 * time.Hour
 
-// TLSConfig returns the configuration of a host with its certificate; both
-// sides of a connection must present one that roots has signed.
+// TLSConfig returns the TLS configuration of a host. Both sides of a connection must present a
+// certificate signed by one of roots.
 func TLSConfig(cert tls.Certificate, roots *x509.CertPool) *tls.Config {
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert},
@@ -38,13 +37,13 @@
 	}
 }
 
-// DevIdentity is a certificate authority with one certificate for all hosts,
-// for development only.
+// DevIdentity is a certificate authority and one certificate for all hosts, as PEM. It is for
+// development only.
 type DevIdentity struct {
 	CA, Cert, Key []byte
 }
 
-// NewDevIdentity makes a fresh authority and certificate, as PEM.
+// NewDevIdentity generates a certificate authority and a certificate.
 func NewDevIdentity(now time.Time) (DevIdentity, error) {
 	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -91,22 +90,22 @@
 	}, nil
 }
 
-// TLS returns the identity as a configuration.
+// TLS returns the TLS configuration for the identity.
 func (d DevIdentity) TLS() (*tls.Config, error) {
 	cert, err := tls.X509KeyPair(d.Cert, d.Key)
 	if err != nil {
-		return nil, errors.Wrap(err, "development certificate")
+		return nil, errors.Wrap(err, "load development certificate")
 	}
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(d.CA)
 	return TLSConfig(cert, roots), nil
 }
 
-// Fingerprint identifies a host's key made at start.
+// Fingerprint is the SHA-256 digest of a host's certificate.
 type Fingerprint [sha256.Size]byte
 
-// SelfSigned makes a key and a certificate for one incarnation of a host. Other
-// hosts learn its fingerprint from the platform's store.
+// SelfSigned generates a key and a self-signed certificate for one incarnation of a host.
+// Other hosts read its fingerprint from the platform's store.
 func SelfSigned(now time.Time) (tls.Certificate, Fingerprint, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -126,21 +125,20 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, sha256.Sum256(der), nil
 }
 
-// PinnedTLS returns the configurations to dial and to listen with of a host whose
-// peers are known by the fingerprints of their certificates. The dialling side
-// talks to known hosts only. The listening side takes any certificate and tells
-// by Request.Known whether it is a known host's: one whose entry could not be
-// written yet must still learn what it cannot read from the store. The dates in a
-// certificate are not looked at: a host's time of day may jump.
-func PinnedTLS(cert tls.Certificate, known func(Fingerprint) bool) (dial, listen *tls.Config) {
+// PinnedTLS returns the TLS configurations to dial and to listen for a host that identifies
+// its peers by certificate fingerprint. Dialing requires a known host. Listening accepts any
+// certificate, since a host may connect before its entry is stored; Request.Known reports
+// whether the sender is known. Validity dates are ignored because the clock of a host may
+// jump.
+func PinnedTLS(cert tls.Certificate, isKnown func(Fingerprint) bool) (dial, listen *tls.Config) {
 	dial = &tls.Config{
 		Certificates: []tls.Certificate{cert},
-		// The chain has no authority; the pinned certificate is checked here and
-		// the handshake proves that the peer has its key.
+		// There is no certificate authority. VerifyPeerCertificate checks the fingerprint, and
+		// the handshake proves possession of the key.
 		InsecureSkipVerify: true,
 		VerifyPeerCertificate: func(raw [][]byte, _ [][]*x509.Certificate) error {
-			if len(raw) == 0 || !known(sha256.Sum256(raw[0])) {
-				return errors.New("peer is not known by its certificate")
+			if len(raw) == 0 || !isKnown(sha256.Sum256(raw[0])) {
+				return errors.New("unknown peer certificate")
 			}
 			return nil
 		},
