--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership keeps what is known of endpoints from the platform's
-// list, which lags and contradicts itself, from probes and from other hosts.
+// Package membership tracks endpoints from the platform's list, from health checks and from
+// reports of other hosts. The list may lag and be inconsistent.
 package membership
 
 import (
@@ -12,23 +12,23 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// LostAfter is how long an endpoint must be both unlisted and unreachable
-// before its capacity is written off. It covers a list that drops a live host
-// for a few polls.
+// LostAfter is how long an endpoint must be both unlisted and unreachable before it is
+// removed. It tolerates a list that omits a live endpoint for a few polls.
 const LostAfter = 5 * time.Second
 
-// Leave states that one run of an endpoint is leaving.
+// Leave identifies an incarnation of an endpoint that is leaving.
 type Leave struct {
 	Endpoint    string             `cbor:"1,keyasint"`
 	Incarnation record.Incarnation `cbor:"2,keyasint"`
 }
 
-// Tracker is the aggregate of known endpoints. It is not safe for concurrent use.
+// Tracker holds the known endpoints. It is not safe for concurrent use.
 type Tracker struct {
 	members map[string]*member
 	leaving map[Leave]bool
-	// entryListed is when each entry host was last listed, or first asked for.
-	entryListed map[string]time.Time
+	// hostListedAt is when each entry host was last listed, or when EntryGone was first called
+	// for it.
+	hostListedAt map[string]time.Time
 }
 
 type member struct {
@@ -36,27 +36,27 @@
 	status    external.EngineStatus
 	reachable bool
 	listed    bool
-	// lastSign is when the endpoint was last listed or reachable.
-	lastSign time.Time
-	// probedAt is when the endpoint last answered a probe.
+	// lastSeen is when the endpoint was last listed or reachable.
+	lastSeen time.Time
+	// probedAt is the time of the last successful health check.
 	probedAt time.Time
 }
 
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
-	return &Tracker{members: map[string]*member{}, leaving: map[Leave]bool{}, entryListed: map[string]time.Time{}}
+	return &Tracker{members: map[string]*member{}, leaving: map[Leave]bool{}, hostListedAt: map[string]time.Time{}}
 }
 
-// Listed takes in the platform's list. It returns the runs that it newly
-// shows as leaving, to be told to the other hosts.
+// Listed applies the platform's list. It returns the incarnations that were not known to be
+// leaving before.
 func (t *Tracker) Listed(now time.Time, list []external.ListedHost) []Leave {
 	for _, m := range t.members {
 		m.listed = false
 	}
-	var news []Leave
+	var newlyLeaving []Leave
 	for _, h := range list {
 		if h.Kind != external.EndpointHost {
-			t.entryListed[h.Name] = now
+			t.hostListedAt[h.Name] = now
 			continue
 		}
 		m := t.members[h.Name]
@@ -66,40 +66,40 @@
 		}
 		m.host = h
 		m.listed = true
-		m.lastSign = now
+		m.lastSeen = now
 		leave := Leave{h.Name, h.Incarnation}
 		if h.Leaving && t.MarkLeaving(leave) {
-			news = append(news, leave)
+			newlyLeaving = append(newlyLeaving, leave)
 		}
 	}
-	t.dropLost(now)
-	return news
+	t.evictLost(now)
+	return newlyLeaving
 }
 
-// EntryGone tells whether an entry host has not been listed for long.
+// EntryGone reports whether an entry host has been unlisted for longer than LostAfter.
 func (t *Tracker) EntryGone(now time.Time, name string) bool {
-	last, known := t.entryListed[name]
+	listedAt, known := t.hostListedAt[name]
 	if !known {
-		t.entryListed[name] = now
+		t.hostListedAt[name] = now
 		return false
 	}
-	return now.Sub(last) > LostAfter
+	return now.Sub(listedAt) > LostAfter
 }
 
-// Know adds endpoints that are known from elsewhere, so that they are probed.
-// A new owner's list may leave out an endpoint for a moment; without a probe
-// it would be taken for lost, with all its replicas.
+// Know adds endpoints known from another source, so that they are health-checked. Otherwise a
+// new pool owner would treat an endpoint and its replicas as lost if the list omits it for a
+// moment.
 func (t *Tracker) Know(now time.Time, hosts []external.ListedHost) {
 	for _, h := range hosts {
 		if t.members[h.Name] == nil {
-			t.members[h.Name] = &member{host: h, lastSign: now}
+			t.members[h.Name] = &member{host: h, lastSeen: now}
 		}
 	}
 }
 
-// MarkLeaving notes that a run is leaving and tells whether that is news. It
-// is never taken back for the same run: a list that contradicts itself, or a
-// slower host's older list, would otherwise send new work to the endpoint.
+// MarkLeaving marks an incarnation as leaving and reports whether that is new. The mark is
+// never cleared for the same incarnation, so that an older or inconsistent list cannot route
+// new requests to it.
 func (t *Tracker) MarkLeaving(l Leave) bool {
 	if t.leaving[l] {
 		return false
@@ -108,7 +108,7 @@
 	return true
 }
 
-// Probed takes in the answer of an endpoint's status call.
+// Probed records the result of an endpoint's health check.
 func (t *Tracker) Probed(now time.Time, name string, status external.EngineStatus, err error) {
 	m := t.members[name]
 	if m == nil {
@@ -117,14 +117,14 @@
 	m.reachable = err == nil
 	if m.reachable {
 		m.status = status
-		m.lastSign = now
+		m.lastSeen = now
 		m.probedAt = now
 	}
 }
 
-func (t *Tracker) dropLost(now time.Time) {
+func (t *Tracker) evictLost(now time.Time) {
 	maps.DeleteFunc(t.members, func(_ string, m *member) bool {
-		return !m.listed && !m.reachable && now.Sub(m.lastSign) > LostAfter
+		return !m.listed && !m.reachable && now.Sub(m.lastSeen) > LostAfter
 	})
 	maps.DeleteFunc(t.leaving, func(l Leave, _ bool) bool {
 		m := t.members[l.Endpoint]
@@ -132,14 +132,14 @@
 	})
 }
 
-// Leaving tells whether an endpoint gets no new work.
+// Leaving reports whether an endpoint must not get new requests.
 func (t *Tracker) Leaving(name string) bool {
 	m := t.members[name]
 	return m != nil && t.memberLeaving(m)
 }
 
-// memberLeaving looks at the run that the list names and at the one that
-// answers probes: after a restart the list may still show the former.
+// memberLeaving prefers the incarnation that responds to health checks. After a restart the
+// list may still show the previous one.
 func (t *Tracker) memberLeaving(m *member) bool {
 	if m.status.Incarnation != "" && m.status.Incarnation != m.host.Incarnation {
 		return t.leaving[Leave{m.host.Name, m.status.Incarnation}]
@@ -147,7 +147,7 @@
 	return t.leaving[Leave{m.host.Name, m.host.Incarnation}]
 }
 
-// Targets returns the endpoints to probe with their addresses, in order.
+// Targets returns the endpoints to health-check, ordered by name.
 func (t *Tracker) Targets() []external.ListedHost {
 	var hosts []external.ListedHost
 	for _, name := range slices.Sorted(maps.Keys(t.members)) {
@@ -156,7 +156,7 @@
 	return hosts
 }
 
-// Status returns the last known status of an endpoint.
+// Status returns the last status of an endpoint, and false if the endpoint is unreachable.
 func (t *Tracker) Status(name string) (external.EngineStatus, bool) {
 	m := t.members[name]
 	if m == nil || !m.reachable {
@@ -165,7 +165,8 @@
 	return m.status, true
 }
 
-// Incarnation returns which run of a plain service is at work under a name, empty for others.
+// Incarnation returns the current incarnation of a plain service's endpoint, or "" for other
+// endpoints.
 func (t *Tracker) Incarnation(name string) record.Incarnation {
 	m := t.members[name]
 	switch {
@@ -177,7 +178,7 @@
 	return m.host.Incarnation
 }
 
-// Service returns the endpoints of a plain service that may get new work.
+// Service returns the endpoints of a plain service that may get new requests.
 func (t *Tracker) Service(name string) []external.ListedHost {
 	var hosts []external.ListedHost
 	for _, endpoint := range slices.Sorted(maps.Keys(t.members)) {
@@ -189,10 +190,9 @@
 	return hosts
 }
 
-// Pool returns what an owner needs to know of its pool's endpoints. What they
-// answered before since is not told: it may be older than what a former owner
-// has loaded. An endpoint that has not answered since has no incarnation; that
-// it is in the list says that it is not lost.
+// Pool returns the observations of a pool's endpoints for the pool's owner. A status from
+// before since is omitted, because it may predate loads ordered by the previous owner. Such an
+// endpoint is reported without an incarnation, which only shows that it is not lost.
 func (t *Tracker) Pool(name string, since time.Time) []pool.Observation {
 	var list []pool.Observation
 	for _, endpoint := range slices.Sorted(maps.Keys(t.members)) {
