--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -9,9 +9,8 @@
 	"github.com/tealvane/tealvane/pkg/quarantine"
 )
 
-// BenchmarkDecide looks for requests to blame in as many ends as a ledger keeps, with a batch of
-// requests each, a few of which ran at several. A controller looks twenty times a second while
-// ends come.
+// BenchmarkDecide measures Decide on a ledger that holds the maximum number of crashes, each with a
+// batch of requests of which a few ran at several endpoints.
 func BenchmarkDecide(b *testing.B) {
 	const ends, batch, repeated = 512, 24, 16
 	l := quarantine.NewLedger()
--- a/pkg/quarantine/blocks.go
+++ b/pkg/quarantine/blocks.go
@@ -8,139 +8,139 @@
 )
 
 const (
-	// BlockLife is how long a block holds. Clients have given up long before, and an
-	// engine that was mended meanwhile gets the request again.
+	// BlockLife is how long a block stays in force. After it, the request is tried again, since the
+	// endpoint software may have been fixed.
 	BlockLife = time.Hour
-	// suspectLife is how long a trial is remembered, as long as an end of an endpoint counts.
-	suspectLife = crashLife
-	// maxBlocks bounds the blocks that are kept, and the trials, some 50 bytes each:
-	// every one has cost endpoints within the hour. Beyond it no new ones are taken.
+	// trialTTL is how long a trial is kept, the same as the crashes that led to it.
+	trialTTL = crashTTL
+	// maxBlocks bounds the number of blocks, and separately of trials. Further ones are not added.
 	maxBlocks = 512
 )
 
-// Blocks are the requests that are kept from endpoints, and the trials of suspects. It is
-// safe for concurrent use.
+// Blocks holds the blocked requests and the trials of suspect requests. It is safe for concurrent
+// use.
 type Blocks struct {
 	mu sync.Mutex
-	// since is when each request was blocked, in Unix seconds.
-	since map[fleet.BlockedRequest]int64
-	// trials are by content.
+	// blockedAt maps each blocked request to when it was blocked, in Unix seconds.
+	blockedAt map[fleet.BlockedRequest]int64
+	// trials maps content digests to trials.
 	trials map[uint64]trial
-	// version counts the changes, sum is the same wherever the same is known.
-	version int64
-	sum     uint64
-	// changes is closed with the next change.
+	// version is incremented on each local change. checksum is an order-independent hash of all
+	// blocks and trials, which hosts compare.
+	version  int64
+	checksum uint64
+	// changes is closed on the next change.
 	changes chan struct{}
 }
 
-// NewBlocks returns no blocks.
+// NewBlocks returns an empty set of blocks.
 func NewBlocks() *Blocks {
 	return &Blocks{
-		since:   map[fleet.BlockedRequest]int64{},
-		trials:  map[uint64]trial{},
-		changes: make(chan struct{}),
+		blockedAt: map[fleet.BlockedRequest]int64{},
+		trials:    map[uint64]trial{},
+		changes:   make(chan struct{}),
 	}
 }
 
-// Add takes in blocks and trials and returns those that are new. A block that has ended here
-// may come once more from a host whose clock is behind, and is not taken in again.
+// Add merges blocks and trials and returns those that are new. Expired ones are ignored, so that a
+// host whose clock is behind cannot restore them.
 func (b *Blocks) Add(now time.Time, blocks []fleet.Block) []fleet.Block {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var added []fleet.Block
 	for _, x := range blocks {
-		if !over(now, x) && (x.Suspect && b.addTrial(now, x) || !x.Suspect && b.addBlock(x)) {
+		if !expired(now, x) && (x.Suspect && b.addTrial(now, x) || !x.Suspect && b.addBlock(x)) {
 			added = append(added, x)
 		}
 	}
 	return added
 }
 
-// addBlock tells whether a block is new. The blocks are locked.
+// addBlock reports whether the block is new. It must be called with b.mu held.
 func (b *Blocks) addBlock(x fleet.Block) bool {
-	since, ok := b.since[x.Request]
-	if !ok && len(b.since) >= maxBlocks {
+	blockedAt, ok := b.blockedAt[x.Request]
+	if !ok && len(b.blockedAt) >= maxBlocks {
 		return false
 	}
-	b.since[x.Request] = max(since, x.Since)
+	b.blockedAt[x.Request] = max(blockedAt, x.Since)
 	if !ok {
-		b.changed(mix(x))
+		b.recordChange(hashBlock(x))
 	}
 	return !ok
 }
 
-// changed notes that something has come, has gone, or has taken the place of another, by what
-// that does to the sum. The blocks are locked.
-func (b *Blocks) changed(mixed uint64) {
+// recordChange records an addition, a removal or a replacement. delta is the change of the
+// checksum. It must be called with b.mu held.
+func (b *Blocks) recordChange(delta uint64) {
 	b.version++
-	b.sum ^= mixed
-	b.wake()
+	b.checksum ^= delta
+	b.notify()
 }
 
-// wake ends all waits for a change. The blocks are locked.
-func (b *Blocks) wake() {
+// notify wakes all waiters. It must be called with b.mu held.
+func (b *Blocks) notify() {
 	close(b.changes)
 	b.changes = make(chan struct{})
 }
 
-// Wake ends all waits for a change.
+// Wake wakes all waiters as if something had changed.
 func (b *Blocks) Wake() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.wake()
+	b.notify()
 }
 
-// Changes is closed with the next change.
+// Changes returns a channel that is closed on the next change.
 func (b *Blocks) Changes() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changes
 }
 
-// mix spreads a block over all bits, so that sums of different blocks differ.
-func mix(x fleet.Block) uint64 {
+// hashBlock returns a hash of the block for the checksum.
+func hashBlock(x fleet.Block) uint64 {
 	const odd1, odd2, odd3 = 0x9e3779b97f4a7c15, 0xbf58476d1ce4e5b9, 0x94d049bb133111eb
-	sum := (x.Request.Content*odd1 ^ x.Request.Caller) * odd2
+	hash := (x.Request.Content*odd1 ^ x.Request.Caller) * odd2
 	if !x.Suspect {
-		return sum
+		return hash
 	}
-	return (sum ^ mixTrial(x.Trial)) * odd3
+	return (hash ^ hashTrial(x.Trial)) * odd3
 }
 
-// over tells whether a block or a trial has ended.
-func over(now time.Time, x fleet.Block) bool {
-	life := BlockLife
+// expired reports whether the block or trial has expired.
+func expired(now time.Time, x fleet.Block) bool {
+	ttl := BlockLife
 	if x.Suspect {
-		life = suspectLife
+		ttl = trialTTL
 	}
-	return now.Unix()-x.Since > int64(life/time.Second)
+	return now.Unix()-x.Since > int64(ttl/time.Second)
 }
 
-// Expire ends blocks and trials that are old.
+// Expire removes expired blocks and trials.
 func (b *Blocks) Expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, x := range b.all(now) {
-		if !over(now, x) {
+		if !expired(now, x) {
 			continue
 		}
 		if x.Suspect {
 			delete(b.trials, x.Request.Content)
 		} else {
-			delete(b.since, x.Request)
+			delete(b.blockedAt, x.Request)
 		}
-		b.changed(mix(x))
+		b.recordChange(hashBlock(x))
 	}
 }
 
-// all returns all blocks and trials. They are locked.
+// all returns all blocks and trials. It must be called with b.mu held.
 func (b *Blocks) all(now time.Time) []fleet.Block {
 	var out []fleet.Block
-	for r, since := range b.since {
+	for r, since := range b.blockedAt {
 		out = append(out, fleet.Block{Request: r, Since: since})
 	}
 	for content, t := range b.trials {
-		out = append(out, t.block(now, content))
+		out = append(out, t.toBlock(now, content))
 	}
 	return out
 }
@@ -156,36 +156,37 @@
 func (b *Blocks) Count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.since)
+	return len(b.blockedAt)
 }
 
-// Has tells whether a block holds.
+// Has reports whether there is a block for exactly this content and caller.
 func (b *Blocks) Has(r fleet.BlockedRequest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_, ok := b.since[r]
+	_, ok := b.blockedAt[r]
 	return ok
 }
 
-// Version counts the changes at this host.
+// Version returns the number of changes at this host.
 func (b *Blocks) Version() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.version
 }
 
-// Sum is the same at hosts that know the same blocks and trials, 0 where there are none.
+// Sum returns a checksum of all blocks and trials, 0 if there are none. It is equal at hosts that
+// hold the same ones.
 func (b *Blocks) Sum() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.sum
+	return b.checksum
 }
 
-// Blocked tells whether a request is kept from endpoints.
+// Blocked reports whether the request is blocked for its caller or for all callers.
 func (b *Blocks) Blocked(f fleet.Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_, own := b.since[fleet.BlockedRequest(f)]
-	_, any := b.since[fleet.BlockedRequest{Content: f.Content, Caller: fleet.AnyCaller}]
-	return own || any
+	_, byCaller := b.blockedAt[fleet.BlockedRequest(f)]
+	_, byAnyCaller := b.blockedAt[fleet.BlockedRequest{Content: f.Content, Caller: fleet.AnyCaller}]
+	return byCaller || byAnyCaller
 }
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -1,3 +1,14 @@
+// Package quarantine detects requests that crash the endpoints which run them (queries of death)
+// and keeps them away from further endpoints.
+//
+// A client resends such a request at any host and under new attempt IDs, and each crash interrupts
+// a whole batch of other requests. A few such requests a second keep all replicas of a busy model
+// down. Each host observes only some of the crashes, and other requests were running at each of
+// them.
+//
+// A request that was running at several crashes becomes suspect and is put on trial: one copy at a
+// time runs over all hosts, as granted by the controller. The request is cleared when an endpoint
+// survives a copy, and blocked when enough crashes are attributed to it.
 package quarantine
 
 import (
@@ -8,38 +19,37 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// Config is what a guard needs of its host.
+// Config holds the dependencies of a Guard.
 type Config struct {
-	// Host is the incarnation of the host, as other hosts know it.
+	// Host is the incarnation of this host, as other hosts know it.
 	Host string
-	// Ended tells whether an incarnation of an endpoint has ended; an error says that this
-	// is not known.
+	// Ended reports whether this incarnation of the endpoint has terminated. An error means that
+	// this is unknown.
 	Ended func(ctx context.Context, e fleet.Endpoint) (bool, error)
-	// Announced tells whether an endpoint has said that it leaves.
+	// Announced reports whether the endpoint has announced its shutdown.
 	Announced func(id fleet.EndpointID) bool
-	// Crashed is told of crashes at one endpoint that were found here.
+	// Crashed is called with new crashes detected by this host, all at one endpoint.
 	Crashed func([]fleet.Crash)
-	// Moved is told that a trial has moved on at this host, which the others have to hear.
+	// Moved is called when this host has advanced a trial and other hosts must be notified.
 	Moved func()
 	Now   func() time.Time
 	Log   *slog.Logger
 }
 
-// Guard keeps requests that crash endpoints from them, at one host. It implements
-// serve.Guard.
+// Guard keeps requests that crash endpoints away from them, on one host. It implements serve.Guard.
 type Guard struct {
 	Ledger  *Ledger
 	Blocks  *Blocks
 	cfg     Config
 	checker *checker
 	probes  *probes
-	lately  *lately
+	answers *recentAnswers
 }
 
 // NewGuard returns a guard that blocks nothing.
 func NewGuard(cfg Config) *Guard {
-	g := &Guard{Ledger: NewLedger(), Blocks: NewBlocks(), cfg: cfg, probes: newProbes(), lately: newLately()}
-	g.checker = newChecker(cfg, g.found)
+	g := &Guard{Ledger: NewLedger(), Blocks: NewBlocks(), cfg: cfg, probes: newProbes(), answers: newRecentAnswers()}
+	g.checker = newChecker(cfg, g.addDetected)
 	return g
 }
 
@@ -52,12 +62,12 @@
 func (g *Guard) Refused(e fleet.Endpoint) { g.checker.Refused(e) }
 
 // Served implements serve.Guard.
-func (g *Guard) Served(e fleet.Endpoint, f fleet.Fingerprint, began time.Time) {
+func (g *Guard) Served(e fleet.Endpoint, f fleet.Fingerprint, sentAt time.Time) {
 	now := g.cfg.Now()
 	for _, harmless := range g.checker.runs.Served(now, e.ID, f) {
 		g.Ledger.Clear(harmless)
 	}
-	g.lately.note(now, f.Content, answered{endpoint: e, began: began, at: now})
+	g.answers.add(now, f.Content, answer{endpoint: e, sentAt: sentAt, answeredAt: now})
 }
 
 // Suspected implements serve.Guard.
@@ -66,52 +76,53 @@
 // Blocked implements serve.Guard.
 func (g *Guard) Blocked(f fleet.Fingerprint) bool { return g.Blocks.Blocked(f) }
 
-// found takes in crashes that this host has seen itself.
-func (g *Guard) found(crashes []fleet.Crash) {
+// addDetected records crashes that this host has detected itself.
+func (g *Guard) addDetected(crashes []fleet.Crash) {
 	if g.Ledger.Add(g.cfg.Now(), crashes) {
 		g.cfg.Crashed(crashes)
 	}
 }
 
-// Take takes in blocks and trials that other hosts tell, and returns those that are new.
+// Take merges blocks and trials received from other hosts and returns those that are new.
 func (g *Guard) Take(now time.Time, blocks []fleet.Block) []fleet.Block {
 	added := g.Blocks.Add(now, blocks)
 	for _, b := range added {
 		if b.Suspect {
-			g.moved(b.Request.Content)
+			g.applyTrial(b.Request.Content)
 		}
 	}
 	return added
 }
 
-// moved does what a new stage of a trial asks of this host.
-func (g *Guard) moved(content uint64) {
+// applyTrial applies a new stage of a trial to the ledger.
+func (g *Guard) applyTrial(content uint64) {
 	if t, ok := g.Blocks.trialOf(content); ok && t.cleared() {
 		g.Ledger.ClearContent(content)
 	}
 }
 
-// Decide blocks the requests that are to blame for the ends of endpoints, and puts suspects on
-// trial. It tells whether there are any new ones.
+// Decide blocks the requests that cause crashes and starts trials of suspect ones. It reports
+// whether there are any new blocks or trials.
 func (g *Guard) Decide(now time.Time) bool {
-	news := false
+	changed := false
 	for _, v := range g.Ledger.Decide(now) {
 		if v.Suspect {
-			news = g.putOnTrial(now, v) || news
+			changed = g.startTrial(now, v) || changed
 			continue
 		}
 		if g.Blocks.Has(v.Request) {
 			continue
 		}
-		news = true
+		changed = true
 		g.Blocks.Add(now, []fleet.Block{{Request: v.Request, Since: now.Unix()}})
-		g.log("request is blocked: endpoints have ended under it", v)
+		g.log("request is blocked: endpoints crashed while running it", v)
 	}
-	return news
+	return changed
 }
 
-// putOnTrial begins the trial of a suspect, anew if it was cleared of earlier ends.
-func (g *Guard) putOnTrial(now time.Time, v Verdict) bool {
+// startTrial starts a trial of a suspect request, or a new round if an earlier trial has cleared
+// it.
+func (g *Guard) startTrial(now time.Time, v Verdict) bool {
 	content := v.Request.Content
 	t, known := g.Blocks.trialOf(content)
 	if known && !t.cleared() {
@@ -119,13 +130,13 @@
 	}
 	b := fleet.Block{Request: v.Request, Since: now.Unix(), Suspect: true}
 	if known {
-		b.Trial = t.next()
+		b.Trial = t.nextRound()
 	}
 	b.Trial.EndedAgo = now.Sub(v.Ended).Milliseconds()
 	if len(g.Take(now, []fleet.Block{b})) == 0 {
 		return false
 	}
-	g.log("request is suspect: endpoints have ended under it", v)
+	g.log("request is suspect and on trial: endpoints crashed while running it", v)
 	return true
 }
 
@@ -133,16 +144,16 @@
 	g.cfg.Log.Warn(msg, "content", fleet.Hex(v.Request.Content), "caller", fleet.Hex(v.Request.Caller), "endpoints", v.Endpoints)
 }
 
-// Unexplained returns what the store has to keep of the ends that nothing else explains, by
-// content: those under which so many endpoints have ended, and what has been on trial for long.
-func (g *Guard) Unexplained(now time.Time, least int, long time.Duration) map[uint64][]fleet.Crash {
-	return g.Ledger.Unexplained(now, func(content uint64, ends int) bool {
+// Unexplained returns the crashes to persist, by content: those of contents that ran at enough
+// crashes which no other content explains, and of contents whose trial has been open for long.
+func (g *Guard) Unexplained(now time.Time, minCrashes int, openFor time.Duration) map[uint64][]fleet.Crash {
+	return g.Ledger.Unexplained(now, func(content uint64, crashes int) bool {
 		t, ok := g.Blocks.trialOf(content)
-		return ends >= least || ok && !t.cleared() && now.Sub(t.ended) >= long
+		return crashes >= minCrashes || ok && !t.cleared() && now.Sub(t.lastCrashAt) >= openFor
 	})
 }
 
-// Prune forgets what is old.
+// Prune removes expired state.
 func (g *Guard) Prune(now time.Time) {
 	g.checker.runs.Prune(now)
 	g.Ledger.Expire(now)
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -15,74 +15,72 @@
 	"github.com/tealvane/tealvane/pkg/quarantine"
 )
 
-// errTimeout is how an endpoint behind a cut shows.
+// errTimeout is the result of a check whose endpoint does not answer.
 var errTimeout = errors.New("no answer")
 
-// look is what one look at an endpoint finds.
-type look struct {
+// checkResult is the result of one check of an endpoint.
+type checkResult struct {
 	ended bool
 	err   error
 }
 
-// watched returns a guard whose looks at endpoints find what is listed, the last one for
-// ever, and the number of times that it has told of crashes.
-func watched(announced bool, looks ...look) (g *quarantine.Guard, told *atomic.Int32) {
-	told = new(atomic.Int32)
+// newTestGuard returns a guard whose endpoint checks return the given results, the last one
+// repeatedly, and the number of calls of Crashed.
+func newTestGuard(announced bool, results ...checkResult) (g *quarantine.Guard, reports *atomic.Int32) {
+	reports = new(atomic.Int32)
 	g = quarantine.NewGuard(quarantine.Config{
 		Ended: func(context.Context, fleet.Endpoint) (bool, error) {
-			l := looks[0]
-			if len(looks) > 1 {
-				looks = looks[1:]
+			l := results[0]
+			if len(results) > 1 {
+				results = results[1:]
 			}
 			return l.ended, l.err
 		},
 		Announced: func(fleet.EndpointID) bool { return announced },
-		Crashed:   func([]fleet.Crash) { told.Add(1) },
+		Crashed:   func([]fleet.Crash) { reports.Add(1) },
 		Now:       time.Now,
 		Log:       slog.New(slog.DiscardHandler),
 	})
-	return g, told
+	return g, reports
 }
 
-// A run breaks off. Most often its endpoint lives (an answer is lost, a connection is reset, a
-// link is cut), or it had said that it leaves; then no request is to blame. Where each broken
-// answer counted, a client whose answers were lost three times was never served again.
-func TestOnlyEndsOfEndpointsCount(t *testing.T) {
+// A run breaks off. It counts against its request only if the endpoint has crashed, not if only the
+// connection was lost or the endpoint had announced its shutdown.
+func TestOnlyUnannouncedCrashesCount(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		announced bool
-		looks     []look
+		results   []checkResult
 		want      int
 	}{
-		{"it has crashed", false, []look{{ended: true}}, 1},
-		{"its process takes a moment to end", false, []look{{}, {ended: true}}, 1},
-		{"packets are lost", false, []look{{err: errTimeout}, {ended: true}}, 1},
-		{"it lives", false, []look{{}}, 0},
-		{"it refuses one connection too many", false, []look{{ended: true}, {}}, 0},
-		{"it is cut off", false, []look{{err: errTimeout}}, 0},
-		{"it has announced its end", true, []look{{ended: true}}, 0},
+		{"it has crashed", false, []checkResult{{ended: true}}, 1},
+		{"its process takes a moment to end", false, []checkResult{{}, {ended: true}}, 1},
+		{"packets are lost", false, []checkResult{{err: errTimeout}, {ended: true}}, 1},
+		{"it lives", false, []checkResult{{}}, 0},
+		{"it refuses one connection too many", false, []checkResult{{ended: true}, {}}, 0},
+		{"it is cut off", false, []checkResult{{err: errTimeout}}, 0},
+		{"it has announced its end", true, []checkResult{{ended: true}}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				g, told := watched(c.announced, c.looks...)
+				g, reports := newTestGuard(c.announced, c.results...)
 				e := fleet.Endpoint{ID: "e"}
-				g.Broke(e, by(client, harmful)[0], 1, true)
-				g.Broke(e, by(client, harmful)[0], 1, true) // one look at a time
+				g.Broke(e, requestsBy(client, harmful)[0], 1, true)
+				g.Broke(e, requestsBy(client, harmful)[0], 1, true) // must not start a second series of checks
 				time.Sleep(2 * time.Second)
 				crashes, _ := g.Ledger.Since(time.Now(), 0, 10)
 				is.Equal(len(crashes), c.want)
-				is.Equal(int(told.Load()), c.want)
+				is.Equal(int(reports.Load()), c.want)
 			})
 		})
 	}
 }
 
-// An answer is lost at a live endpoint, which is looked at a few times. Another request breaks
-// off there meanwhile, or just after the last look, and its endpoint takes a moment to end; the
-// end was missed, and with it one of the three that count.
-func TestEndDuringALookIsSeen(t *testing.T) {
-	for breaks := 10 * time.Millisecond; breaks < 500*time.Millisecond; breaks += 20 * time.Millisecond {
+// A run breaks off at a live endpoint, and a second one while or just after the endpoint is
+// checked. The crash that the second request causes must still be detected.
+func TestCrashDuringCheckIsDetected(t *testing.T) {
+	for secondBreak := 10 * time.Millisecond; secondBreak < 500*time.Millisecond; secondBreak += 20 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			var ended atomic.Bool
@@ -94,9 +92,9 @@
 				Log:       slog.New(slog.DiscardHandler),
 			})
 			e := fleet.Endpoint{ID: "e"}
-			g.Broke(e, by(client, innocent)[0], 1, true)
-			time.Sleep(breaks)
-			g.Broke(e, by(client, harmful)[0], 1, true)
+			g.Broke(e, requestsBy(client, innocent)[0], 1, true)
+			time.Sleep(secondBreak)
+			g.Broke(e, requestsBy(client, harmful)[0], 1, true)
 			time.Sleep(50 * time.Millisecond)
 			ended.Store(true)
 			time.Sleep(2 * time.Second)
@@ -106,110 +104,107 @@
 	}
 }
 
-// An endpoint ends under a batch. Some connections break a little later than the first one,
-// and a client may have left just before; each of these requests may be to blame. One whose
-// answer broke off long before is not.
-func TestAllThatRanAtTheEndAreNamed(t *testing.T) {
+// An endpoint crashes while it runs a batch. Requests that broke off shortly before or after the
+// crash are reported, and one that broke off long before is not.
+func TestAllRequestsRunningAtCrashAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, _ := watched(false, look{ended: true})
+		g, _ := newTestGuard(false, checkResult{ended: true})
 		e := fleet.Endpoint{ID: "e"}
-		g.Broke(e, by(client, 4)[0], 1, false)
+		g.Broke(e, requestsBy(client, 4)[0], 1, false)
 		time.Sleep(time.Second)
-		g.Broke(e, by(client, 5)[0], 1, false) // its client leaves
+		g.Broke(e, requestsBy(client, 5)[0], 1, false) // its client disconnects
 		time.Sleep(100 * time.Millisecond)
-		g.Broke(e, by(client, harmful)[0], 1, true)
+		g.Broke(e, requestsBy(client, harmful)[0], 1, true)
 		time.Sleep(50 * time.Millisecond)
-		g.Broke(e, by(client, innocent)[0], 1, true)
+		g.Broke(e, requestsBy(client, innocent)[0], 1, true)
 		time.Sleep(time.Second)
-		g.Broke(e, by(client, other)[0], 1, true) // after the end was found
+		g.Broke(e, requestsBy(client, other)[0], 1, true) // after the crash was detected
 		synctest.Wait()
 		crashes, _ := g.Ledger.Since(time.Now(), 0, 10)
-		ran := map[uint64]bool{}
+		reported := map[uint64]bool{}
 		for _, c := range crashes {
-			ran[c.Request.Content] = true
+			reported[c.Request.Content] = true
 		}
-		is.Equal(ran, map[uint64]bool{5: true, harmful: true, innocent: true, other: true})
+		is.Equal(reported, map[uint64]bool{5: true, harmful: true, innocent: true, other: true})
 	})
 }
 
-// The client of a harmful request leaves just before the request ends its endpoint. Nothing
-// else of this host runs there, so that no answer breaks off. The next request finds that
-// nobody listens; without it the end was seen by other hosts only, which had sent others.
-func TestEndAfterTheClientHasLeft(t *testing.T) {
+// The client disconnects just before its request crashes the endpoint, so no answer breaks off. The
+// crash must be detected when the next connection is refused.
+func TestCrashAfterClientDisconnectIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, told := watched(false, look{ended: true})
+		g, reports := newTestGuard(false, checkResult{ended: true})
 		e := fleet.Endpoint{ID: "e"}
-		g.Refused(e) // nothing has run there
+		g.Refused(e) // no run at this endpoint yet
 		time.Sleep(time.Second)
-		is.Equal(told.Load(), int32(0))
-		g.Broke(e, by(client, harmful)[0], 1, false)
+		is.Equal(reports.Load(), int32(0))
+		g.Broke(e, requestsBy(client, harmful)[0], 1, false)
 		time.Sleep(700 * time.Millisecond)
 		g.Refused(e)
 		time.Sleep(time.Second)
-		is.Equal(told.Load(), int32(1))
-		g.Broke(fleet.Endpoint{ID: "e2"}, by(client, harmful)[0], 1, false)
+		is.Equal(reports.Load(), int32(1))
+		g.Broke(fleet.Endpoint{ID: "e2"}, requestsBy(client, harmful)[0], 1, false)
 		time.Sleep(5 * time.Second)
-		g.Refused(fleet.Endpoint{ID: "e2"}) // its end is another's
+		g.Refused(fleet.Endpoint{ID: "e2"}) // the last run there was too long ago
 		time.Sleep(time.Second)
-		is.Equal(told.Load(), int32(1))
+		is.Equal(reports.Load(), int32(1))
 	})
 }
 
-// A harmful request has a short answer, and its endpoint ends just after the whole of it. Taken
-// for served, it was never blocked by that host.
-func TestAnswerJustBeforeTheEndProvesNothing(t *testing.T) {
+// An endpoint crashes just after it has answered the harmful request completely. The answer must
+// not clear the request.
+func TestAnswerJustBeforeCrashDoesNotClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, told := watched(false, look{ended: true})
+		g, reports := newTestGuard(false, checkResult{ended: true})
 		e := fleet.Endpoint{ID: "e"}
-		g.Served(e, by(client, 4)[0], time.Now())
+		g.Served(e, requestsBy(client, 4)[0], time.Now())
 		time.Sleep(600 * time.Millisecond)
-		g.Served(e, by(client, harmful)[0], time.Now())
+		g.Served(e, requestsBy(client, harmful)[0], time.Now())
 		time.Sleep(50 * time.Millisecond)
-		g.Broke(e, by(client, innocent)[0], 1, true)
+		g.Broke(e, requestsBy(client, innocent)[0], 1, true)
 		time.Sleep(time.Second)
-		is.Equal(told.Load(), int32(1))
+		is.Equal(reports.Load(), int32(1))
 		crashes, _ := g.Ledger.Since(time.Now(), 0, 10)
-		is.Equal(len(crashes), 2) // not the one that was answered long before
-		g.Served(e, by(client, other)[0], time.Now())
+		is.Equal(len(crashes), 2) // the request that was answered long before is not reported
+		g.Served(e, requestsBy(client, other)[0], time.Now())
 		crashes, _ = g.Ledger.Since(time.Now(), 0, 10)
-		is.Equal(len(crashes), 2) // nor is it cleared by an answer that comes late
+		is.Equal(len(crashes), 2) // a later answer does not clear them
 	})
 }
 
-// A harmful request has ended three endpoints. At the fourth its answer is whole, and another
-// request is answered there a moment before the endpoint ends. Taken for a sign that the
-// endpoint lives on, that cleared the harmful one of all its ends.
-func TestAnswerAMomentLaterClearsNothing(t *testing.T) {
+// The fourth endpoint answers the harmful request and a moment later another one, and then crashes.
+// The second answer must not clear the harmful request.
+func TestOtherAnswerJustBeforeCrashDoesNotClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, _ := watched(false, look{ended: true})
-		f := by(client, harmful)[0]
+		g, _ := newTestGuard(false, checkResult{ended: true})
+		f := requestsBy(client, harmful)[0]
 		for i := range 3 {
-			g.Ledger.Add(time.Now(), crashesOf(i, ending{ran: []fleet.Fingerprint{f}}))
+			g.Ledger.Add(time.Now(), crashReports(i, testCrash{requests: []fleet.Fingerprint{f}}))
 			time.Sleep(time.Second)
 		}
 		e := fleet.Endpoint{ID: "fourth"}
 		g.Served(e, f, time.Now())
 		time.Sleep(50 * time.Millisecond)
-		g.Served(e, by(client, other)[0], time.Now())
+		g.Served(e, requestsBy(client, other)[0], time.Now())
 		g.Decide(time.Now())
 		is.True(g.Blocked(f))
 	})
 }
 
-// An answer is lost at an endpoint that is found alive. A little later another request ends
-// it; the first one's client was lost its answers, and would be blamed for the end as well.
-func TestWhatBrokeOffBeforeASignOfLifeIsNotNamed(t *testing.T) {
+// A run breaks off at an endpoint that is then found alive. The request must not be reported for a
+// later crash of that endpoint.
+func TestRunBrokenBeforeAliveCheckIsNotReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, _ := watched(false, look{}, look{}, look{}, look{ended: true})
+		g, _ := newTestGuard(false, checkResult{}, checkResult{}, checkResult{}, checkResult{ended: true})
 		e := fleet.Endpoint{ID: "e"}
-		g.Broke(e, by(client, innocent)[0], 1, true)
+		g.Broke(e, requestsBy(client, innocent)[0], 1, true)
 		time.Sleep(600 * time.Millisecond)
-		g.Broke(e, by(client, harmful)[0], 1, true)
+		g.Broke(e, requestsBy(client, harmful)[0], 1, true)
 		time.Sleep(time.Second)
 		crashes, _ := g.Ledger.Since(time.Now(), 0, 10)
 		is.Equal(len(crashes), 1)
@@ -217,15 +212,15 @@
 	})
 }
 
-// Nobody listens at an endpoint that was shut down long ago, and many requests find that. Each
-// looked at it again, twice; the looks would cost more than the requests.
-func TestRefusedConnectionsAloneBeginNoLook(t *testing.T) {
+// Connections to an endpoint that was shut down long ago are refused. They must not start checks of
+// the endpoint.
+func TestRefusedConnectionsAloneStartNoCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var looks atomic.Int32
+		var checks atomic.Int32
 		g := quarantine.NewGuard(quarantine.Config{
 			Ended: func(context.Context, fleet.Endpoint) (bool, error) {
-				looks.Add(1)
+				checks.Add(1)
 				return true, nil
 			},
 			Announced: func(fleet.EndpointID) bool { return false },
@@ -237,12 +232,11 @@
 			g.Refused(fleet.Endpoint{ID: "e"})
 			time.Sleep(time.Second)
 		}
-		is.Equal(looks.Load(), int32(0))
+		is.Equal(checks.Load(), int32(0))
 	})
 }
 
-// Blocks and suspects are kept in memory at each host and told to all; more than a few hundred
-// are not taken in, and those in force hold.
+// The numbers of blocks and of trials are bounded, and those in force are kept.
 func TestBlocksAreBounded(t *testing.T) {
 	is := is.New(t)
 	b := quarantine.NewBlocks()
@@ -253,30 +247,27 @@
 	}
 	is.Equal(b.Count(), 512)
 	is.Equal(len(b.All(time.Now())), 2*512)
-	is.True(b.Blocked(by(client, 1)[0]))
+	is.True(b.Blocked(requestsBy(client, 1)[0]))
 }
 
-// A request has run at two endpoints that ended. Until more is known it is not sent to a second
-// endpoint for one attempt of its client.
-func TestTwoEndsMakeASuspect(t *testing.T) {
+// A request that was running at two crashes is put on trial for all callers and is not blocked.
+func TestTwoCrashesStartTrial(t *testing.T) {
 	is := is.New(t)
-	g, _ := watched(false, look{ended: true})
+	g, _ := newTestGuard(false, checkResult{ended: true})
 	for i := range 2 {
-		is.True(!g.Suspected(by(client, harmful)[0]))
-		g.Ledger.Add(start(), crashesOf(i, ending{ran: by(client, harmful)}))
+		is.True(!g.Suspected(requestsBy(client, harmful)[0]))
+		g.Ledger.Add(start(), crashReports(i, testCrash{requests: requestsBy(client, harmful)}))
 		g.Decide(start().Add(time.Duration(i) * time.Second))
 	}
-	is.True(g.Suspected(by(elsewhere, harmful)[0]))
-	is.True(!g.Blocked(by(client, harmful)[0]))
+	is.True(g.Suspected(requestsBy(otherClient, harmful)[0]))
+	is.True(!g.Blocked(requestsBy(client, harmful)[0]))
 	g.Prune(start().Add(11 * time.Minute))
-	is.True(!g.Suspected(by(client, harmful)[0]))
+	is.True(!g.Suspected(requestsBy(client, harmful)[0]))
 }
 
-// Many clients send the same popular request, and it runs at each endpoint that a harmful one
-// ends. Between the ends it is served by endpoints that live on, so that it is not to blame.
-// One that was served only before its first end may be: it has become harmful since, and a
-// host that had served it let it through after all others had blocked it.
-func TestServiceClearsOnlyWhatWasBefore(t *testing.T) {
+// A request that is served between crashes is not their cause. One that was served only before the
+// first crash may be.
+func TestSuccessClearsOnlyEarlierCrashes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		between bool
@@ -288,20 +279,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				g, _ := watched(false, look{ended: true})
-				f := by(client, innocent)[0]
-				serve := func() {
+				g, _ := newTestGuard(false, checkResult{ended: true})
+				f := requestsBy(client, innocent)[0]
+				serveAndSurvive := func() {
 					e := fleet.Endpoint{ID: "lives"}
 					g.Served(e, f, time.Now())
 					time.Sleep(1100 * time.Millisecond)
-					g.Served(e, by(client, other)[0], time.Now())
+					g.Served(e, requestsBy(client, other)[0], time.Now())
 				}
-				serve()
+				serveAndSurvive()
 				for _, id := range []fleet.EndpointID{"e1", "e2", "e3", "e4"} {
 					g.Broke(fleet.Endpoint{ID: id}, f, 1, true)
 					time.Sleep(time.Second)
 					if c.between {
-						serve()
+						serveAndSurvive()
 					}
 				}
 				g.Decide(time.Now())
@@ -311,20 +302,20 @@
 	}
 }
 
-// A request is blocked for an hour. Hosts end the block at slightly different times; one that
-// was told it again by a host whose clock is behind kept it for ever.
-func TestBlockEndsEverywhere(t *testing.T) {
+// Hosts expire a block at slightly different times. A host must not accept an expired block again
+// from a host whose clock is behind.
+func TestExpiredBlockIsNotAddedAgain(t *testing.T) {
 	is := is.New(t)
 	b := quarantine.NewBlocks()
 	block := fleet.Block{Request: fleet.BlockedRequest{Content: harmful, Caller: client}, Since: start().Unix()}
 	is.Equal(len(b.Add(start(), []fleet.Block{block})), 1)
 	is.Equal(len(b.Add(start(), []fleet.Block{block})), 0)
-	is.True(b.Blocked(by(client, harmful)[0]))
-	is.True(!b.Blocked(by(elsewhere, harmful)[0]))
+	is.True(b.Blocked(requestsBy(client, harmful)[0]))
+	is.True(!b.Blocked(requestsBy(otherClient, harmful)[0]))
 	is.True(b.Sum() != 0)
 	later := start().Add(time.Hour + 2*time.Second)
 	b.Expire(later)
 	is.Equal(len(b.Add(later, []fleet.Block{block})), 0)
-	is.True(!b.Blocked(by(client, harmful)[0]))
+	is.True(!b.Blocked(requestsBy(client, harmful)[0]))
 	is.Equal(b.Sum(), uint64(0))
 }
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -15,18 +15,16 @@
 )
 
 const (
-	// turnTime is how long a copy waits for its turn with a place at an endpoint, some
-	// times as long as a question to the controller and its answer take.
-	turnTime = 1500 * time.Millisecond
-	// endShows is how long after a copy broke off the end of its endpoint has been seen here,
-	// and told: the turn is not given back before, so that the next one waits for the verdict.
-	endShows = time.Second
-	// unusedTurn is how long a host keeps a turn for which it has no copy any more.
-	unusedTurn = 200 * time.Millisecond
+	// grantTimeout is how long a copy that has a slot at an endpoint waits for its grant.
+	grantTimeout = 1500 * time.Millisecond
+	// crashDetectionDelay is how long it takes to detect and report a crash after a run breaks off.
+	// A grant is kept for that time, so that the next copy waits for the verdict.
+	crashDetectionDelay = time.Second
+	// unusedGrantTimeout is how long a host keeps a grant for which it has no copy any more.
+	unusedGrantTimeout = 200 * time.Millisecond
 )
 
-// probes are the suspects of which a copy has gone ahead of the others at this host. It is
-// safe for concurrent use.
+// probes holds the probe of each suspect content at this host. It is safe for concurrent use.
 type probes struct {
 	mu        sync.Mutex
 	byContent map[uint64]*probe
@@ -34,8 +32,8 @@
 
 func newProbes() *probes { return &probes{byContent: map[uint64]*probe{}} }
 
-// begin returns a probe of a content unless there is one.
-func (p *probes) begin(g *Guard, f fleet.Fingerprint) *probe {
+// start returns a new probe of the content, or nil if there is one already.
+func (p *probes) start(g *Guard, f fleet.Fingerprint) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.byContent[f.Content] != nil {
@@ -46,13 +44,13 @@
 	return x
 }
 
-func (p *probes) end(content uint64) {
+func (p *probes) remove(content uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.byContent, content)
 }
 
-// has tells whether there is a probe of a content.
+// has reports whether there is a probe of the content.
 func (p *probes) has(content uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,38 +58,38 @@
 }
 
 // Enter implements serve.Guard.
-func (g *Guard) Enter(ctx context.Context, f fleet.Fingerprint, until time.Time) (serve.Probe, bool) {
+func (g *Guard) Enter(ctx context.Context, f fleet.Fingerprint, deadline time.Time) (serve.Probe, bool) {
 	for {
 		changes := g.Blocks.Changes()
 		if !g.Suspected(f) || g.Blocked(f) {
 			return nil, true
 		}
-		if p := g.probes.begin(g, f); p != nil {
+		if p := g.probes.start(g, f); p != nil {
 			return p, true
 		}
-		if !g.await(ctx, changes, until) {
+		if !g.waitForChange(ctx, changes, deadline) {
 			return nil, false
 		}
 	}
 }
 
-// await waits for a change and tells whether one came in time.
-func (g *Guard) await(ctx context.Context, changes <-chan struct{}, until time.Time) bool {
-	return !wait.Or(ctx, until.Sub(g.cfg.Now()), changes) && ctx.Err() == nil
+// waitForChange blocks until changes is closed and reports whether that was before the deadline.
+func (g *Guard) waitForChange(ctx context.Context, changes <-chan struct{}, deadline time.Time) bool {
+	return !wait.Or(ctx, deadline.Sub(g.cfg.Now()), changes) && ctx.Err() == nil
 }
 
-// probe is the copy of a suspect that goes ahead at this host. It implements serve.Probe.
+// probe is the one copy of a suspect that may run at this host. It implements serve.Probe.
 type probe struct {
 	guard   *Guard
 	request fleet.Fingerprint
-	// turn is the trial as it was when this copy got its turn.
-	turn fleet.Trial
+	// grant is the trial as it was when this copy got its grant, zero without one.
+	grant fleet.Trial
 }
 
 // Await implements serve.Probe.
 func (p *probe) Await(ctx context.Context) bool {
 	g := p.guard
-	until := g.cfg.Now().Add(turnTime)
+	deadline := g.cfg.Now().Add(grantTimeout)
 	for {
 		changes := g.Blocks.Changes()
 		t, ok := g.Blocks.trialOf(p.request.Content)
@@ -101,12 +99,12 @@
 		case !ok || t.cleared():
 			return true
 		case t.Stage == fleet.TrialGranted && t.Host == g.cfg.Host:
-			p.turn = t.Trial
+			p.grant = t.Trial
 			return true
 		case t.Stage == fleet.TrialHeld:
-			g.move(p.request.Content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialAsked, Host: g.cfg.Host})
+			g.advanceTrial(p.request.Content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialAsked, Host: g.cfg.Host})
 		}
-		if !g.await(ctx, changes, until) {
+		if !g.waitForChange(ctx, changes, deadline) {
 			return false
 		}
 	}
@@ -114,114 +112,114 @@
 
 // Done implements serve.Probe.
 func (p *probe) Done(e fleet.Endpoint, outcome serve.ProbeOutcome) {
-	if p.turn.Stage != fleet.TrialGranted || outcome == serve.ProbeNotRun {
-		p.over()
+	if p.grant.Stage != fleet.TrialGranted || outcome == serve.ProbeNotRun {
+		p.finish()
 		return
 	}
 	go func() {
-		defer p.over()
-		if outcome == serve.ProbeServed && p.guard.survives(e) {
-			p.guard.clear(p.request.Content)
+		defer p.finish()
+		if outcome == serve.ProbeServed && p.guard.staysAlive(e) {
+			p.guard.clearTrial(p.request.Content)
 			return
 		}
-		wait.For(context.Background(), endShows)
+		wait.For(context.Background(), crashDetectionDelay)
 	}()
 }
 
-// over lets the next copy go ahead, at this host or another one.
-func (p *probe) over() {
+// finish removes the probe and releases its grant, so that another copy can run.
+func (p *probe) finish() {
 	content := p.request.Content
-	p.guard.probes.end(content)
-	p.guard.yield(content)
+	p.guard.probes.remove(content)
+	p.guard.releaseGrant(content)
 	p.guard.Blocks.Wake()
 }
 
-// move moves a trial on if it is still as it was.
-func (g *Guard) move(content uint64, from, to fleet.Trial) {
-	if !g.Blocks.move(g.cfg.Now(), content, from, to) {
+// advanceTrial advances the trial if it is still in the stage from.
+func (g *Guard) advanceTrial(content uint64, from, to fleet.Trial) {
+	if !g.Blocks.advanceTrial(g.cfg.Now(), content, from, to) {
 		return
 	}
-	g.cfg.Log.Info("trial of a suspect request", "content", fleet.Hex(content), "round", to.Round, "stage", to.Stage.String(), "host", to.Host)
-	g.moved(content)
+	g.cfg.Log.Info("trial of a suspect request changed stage", "content", fleet.Hex(content), "round", to.Round, "stage", to.Stage.String(), "host", to.Host)
+	g.applyTrial(content)
 	g.cfg.Moved()
 }
 
-// yield gives up the turn that this host has or asks for.
-func (g *Guard) yield(content uint64) {
+// releaseGrant releases the grant that this host has or has asked for.
+func (g *Guard) releaseGrant(content uint64) {
 	t, ok := g.Blocks.trialOf(content)
 	if ok && !t.cleared() && t.Host == g.cfg.Host && t.Stage != fleet.TrialHeld {
-		g.move(content, t.Trial, t.next())
+		g.advanceTrial(content, t.Trial, t.nextRound())
 	}
 }
 
-// clear ends a trial: a copy was answered, and its endpoint lives on.
-func (g *Guard) clear(content uint64) {
+// clearTrial ends the trial after an endpoint has survived a copy.
+func (g *Guard) clearTrial(content uint64) {
 	for {
 		t, ok := g.Blocks.trialOf(content)
 		if !ok || t.cleared() {
 			return
 		}
-		g.move(content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialCleared, Host: t.Host})
+		g.advanceTrial(content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialCleared, Host: t.Host})
 	}
 }
 
-// survives tells whether an endpoint lives on a while after an answer: the answer may be
-// shorter than the harm takes.
-func (g *Guard) survives(e fleet.Endpoint) bool {
-	wait.For(context.Background(), servedFor)
-	return g.lives(e)
+// staysAlive reports whether the endpoint is still alive some time after an answer, since a crash
+// may show only after the answer.
+func (g *Guard) staysAlive(e fleet.Endpoint) bool {
+	wait.For(context.Background(), servedWindow)
+	return g.isAlive(e)
 }
 
-// lives tells whether an endpoint is certain to be alive.
-func (g *Guard) lives(e fleet.Endpoint) bool {
-	ended, err := g.checker.askOnce(context.Background(), e)
+// isAlive reports whether the endpoint is known to be alive.
+func (g *Guard) isAlive(e fleet.Endpoint) bool {
+	ended, err := g.checker.checkOnce(context.Background(), e)
 	return err == nil && !ended
 }
 
-// Grant gives the turns of all trials. The controller does so, which hears of all ends: no copy
-// runs before the last one's end has been judged.
+// Grant grants one copy in each trial whose last crash has been evaluated, and revokes expired
+// grants. It is called by the controller, which receives all crash reports.
 func (g *Guard) Grant(now time.Time) {
 	for content, t := range g.Blocks.openTrials() {
 		switch {
-		case t.Stage == fleet.TrialAsked && now.Sub(g.Ledger.LastHeard(content)) >= tieTime:
-			g.move(content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialGranted, Host: t.Host})
-		case t.Stage == fleet.TrialGranted && now.Sub(t.moved) > grantLife:
-			g.move(content, t.Trial, t.next())
+		case t.Stage == fleet.TrialAsked && now.Sub(g.Ledger.LastHeard(content)) >= tieDelay:
+			g.advanceTrial(content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialGranted, Host: t.Host})
+		case t.Stage == fleet.TrialGranted && now.Sub(t.changedAt) > grantTTL:
+			g.advanceTrial(content, t.Trial, t.nextRound())
 		}
 	}
 }
 
-// GrantOwn gives this host the turns that it asks for, at a time of its own within a span. A
-// host that hears nobody does so: others may be cut off too, and learn from the store what
-// becomes of its copy before they send theirs.
+// GrantOwn grants this host the copies that it asks for, each at a time derived from host, content
+// and round within span after the last crash. It is called while the host is isolated. Other hosts
+// may be isolated too, and read the result of this host's copy from the store before they run
+// theirs.
 func (g *Guard) GrantOwn(now time.Time, span time.Duration) {
 	for content, t := range g.Blocks.openTrials() {
-		late := now.Sub(t.moved) > grantLife
+		expired := now.Sub(t.changedAt) > grantTTL
 		switch {
-		case t.Host != g.cfg.Host && t.Stage != fleet.TrialHeld && late:
-			g.move(content, t.Trial, t.next())
+		case t.Host != g.cfg.Host && t.Stage != fleet.TrialHeld && expired:
+			g.advanceTrial(content, t.Trial, t.nextRound())
 		case t.Host != g.cfg.Host || t.Stage != fleet.TrialAsked:
-		case now.Sub(t.ended) >= g.ownTurn(t.Trial, content, span) && now.Sub(g.Ledger.LastHeard(content)) >= tieTime:
-			g.move(content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialGranted, Host: t.Host})
+		case now.Sub(t.lastCrashAt) >= g.localGrantDelay(t.Trial, content, span) && now.Sub(g.Ledger.LastHeard(content)) >= tieDelay:
+			g.advanceTrial(content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialGranted, Host: t.Host})
 		}
 	}
 }
 
-// ownTurn is how long after the last end this host runs a copy on its own, spread evenly over
-// a span by host and round.
-func (g *Guard) ownTurn(t fleet.Trial, content uint64, span time.Duration) time.Duration {
+// localGrantDelay returns how long after the last crash this host may run a copy while it is
+// isolated. Hosts and rounds are spread evenly over span.
+func (g *Guard) localGrantDelay(t fleet.Trial, content uint64, span time.Duration) time.Duration {
 	h := fnv.New32a()
-	_, _ = io.WriteString(h, g.cfg.Host+strconv.FormatUint(content, 16)+strconv.FormatInt(t.Round, 16)) // A hash takes all bytes.
+	_, _ = io.WriteString(h, g.cfg.Host+strconv.FormatUint(content, 16)+strconv.FormatInt(t.Round, 16)) // A hash never returns an error.
 	return time.Duration(float64(span) * float64(h.Sum32()) / math.MaxUint32)
 }
 
-// Tend does what the trials ask of this host: it clears those of which it has served a copy,
-// and gives back turns for which it has none any more.
+// Tend clears the suspects of which this host has served a copy, and releases unused grants.
 func (g *Guard) Tend(now time.Time) {
 	for content, t := range g.Blocks.openTrials() {
-		g.clearServed(now, content, t)
-		if t.Host == g.cfg.Host && now.Sub(t.moved) >= unusedTurn && !g.probes.has(content) {
-			g.yield(content)
+		g.clearIfServed(now, content, t)
+		if t.Host == g.cfg.Host && now.Sub(t.changedAt) >= unusedGrantTimeout && !g.probes.has(content) {
+			g.releaseGrant(content)
 		}
 	}
 }
--- a/pkg/quarantine/runs.go
+++ b/pkg/quarantine/runs.go
@@ -1,11 +1,3 @@
-// Package quarantine finds requests that crash the endpoints which run them (queries of
-// death), and keeps them from further endpoints.
-//
-// The load pattern: one request ends each endpoint that begins to run it. Its client sends it
-// again and again, at any host, under new attempt IDs. Each end breaks off up to a
-// whole batch of other requests, and a few such requests a second keep all replicas of a busy
-// model down. No host sees more than a part of the ends, and beside the request that
-// is to blame others have run at each of them.
 package quarantine
 
 import (
@@ -17,123 +9,125 @@
 )
 
 const (
-	// brokenFor is how long before the end of an endpoint shows a run may have broken off
-	// there because of it: its client may have left just before the end, and the end
-	// shows when the next request finds that nobody listens.
-	brokenFor = time.Second
-	// servedFor is how long before the end of an endpoint a request may have been answered
-	// to the end there and still be the cause: the answer may be shorter than the harm takes,
-	// which was 10 to 190 ms from the start of a run in those seen.
-	servedFor = 300 * time.Millisecond
-	// survivedFor is how long after an answer an endpoint must still answer others to show that
-	// the request did no harm: some times as long as harm took.
-	survivedFor = time.Second
-	// livedFor is how long before an endpoint was found alive a run must have broken off to
-	// have done no harm: a process takes a moment to end.
-	livedFor = 200 * time.Millisecond
-	// endedFor is how long runs may break off after the end of their endpoint has shown: about
-	// the longest time that a request is given.
-	endedFor = 10 * time.Second
+	// brokenWindow is how long before a detected crash a run may have broken off because of it. If
+	// its client disconnected just before the crash, the crash is detected only when the next
+	// request is refused a connection.
+	brokenWindow = time.Second
+	// servedWindow is how long before a crash the cause may have been answered completely: the
+	// answer may be complete before the endpoint crashes.
+	servedWindow = 300 * time.Millisecond
+	// survivalTime is how long after its answer a request is cleared if the endpoint still serves
+	// others.
+	survivalTime = time.Second
+	// exitDelay is how long before the endpoint was found alive a run must have broken off to be
+	// harmless, since a crashing process takes a moment to exit.
+	exitDelay = 200 * time.Millisecond
+	// runRetention is how long runs may still break off after a crash was detected, about the
+	// longest timeout of a request.
+	runRetention = 10 * time.Second
 )
 
-// Runs are this host's runs that have just ended, by endpoint, until it shows whether the
-// endpoint has ended too. It is safe for concurrent use.
+// Runs holds this host's recent runs by endpoint, until it is known whether the endpoint has
+// crashed. It is safe for concurrent use.
 type Runs struct {
 	mu        sync.Mutex
-	endpoints map[fleet.EndpointID]*endedRuns
+	endpoints map[fleet.EndpointID]*endpointRuns
 }
 
-// endedRuns are the runs at one endpoint.
-type endedRuns struct {
-	// broken is when the run of each copy of a request broke off.
-	broken map[copyOf]time.Time
-	// served is when the last run of each request ended with its whole answer.
-	served map[fleet.Fingerprint]time.Time
-	// last is when the last run of any request ended.
-	last time.Time
-	// ended is when the endpoint ended, zero while it may live.
-	ended time.Time
+// endpointRuns holds the recent runs at one endpoint.
+type endpointRuns struct {
+	// brokenAt holds when the run of each copy broke off.
+	brokenAt map[requestCopy]time.Time
+	// servedAt holds when each request was first answered, until it is cleared.
+	servedAt map[fleet.Fingerprint]time.Time
+	// lastRunAt is when a run last ended.
+	lastRunAt time.Time
+	// crashedAt is when the endpoint crashed, zero while it may be alive.
+	crashedAt time.Time
 }
 
-// copyOf is one of the copies of a request.
-type copyOf struct {
+// requestCopy identifies one copy of a request.
+type requestCopy struct {
 	request fleet.Fingerprint
 	id      fleet.CopyID
 }
 
-// NewRuns returns no runs.
-func NewRuns() *Runs { return &Runs{endpoints: map[fleet.EndpointID]*endedRuns{}} }
+// NewRuns returns an empty set of runs.
+func NewRuns() *Runs { return &Runs{endpoints: map[fleet.EndpointID]*endpointRuns{}} }
 
-// Broke notes a run that broke off. It returns a crash if the endpoint is known to have ended.
+// Broke records a run that broke off. It returns a crash report if the endpoint is known to have
+// crashed.
 func (r *Runs) Broke(now time.Time, id fleet.EndpointID, f fleet.Fingerprint, c fleet.CopyID) []fleet.Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b := r.of(id)
-	b.last = now
-	if b.ended.IsZero() {
-		b.broken[copyOf{f, c}] = now
+	b := r.forEndpoint(id)
+	b.lastRunAt = now
+	if b.crashedAt.IsZero() {
+		b.brokenAt[requestCopy{f, c}] = now
 		return nil
 	}
-	return []fleet.Crash{crash(now, id, copyOf{f, c}, b.ended)}
+	return []fleet.Crash{newCrash(now, id, requestCopy{f, c}, b.crashedAt)}
 }
 
-// of returns the runs at an endpoint. The runs are locked.
-func (r *Runs) of(id fleet.EndpointID) *endedRuns {
+// forEndpoint returns the runs at an endpoint, which it creates if there are none. It must be
+// called with r.mu held.
+func (r *Runs) forEndpoint(id fleet.EndpointID) *endpointRuns {
 	b := r.endpoints[id]
 	if b == nil {
-		b = &endedRuns{broken: map[copyOf]time.Time{}, served: map[fleet.Fingerprint]time.Time{}}
+		b = &endpointRuns{brokenAt: map[requestCopy]time.Time{}, servedAt: map[fleet.Fingerprint]time.Time{}}
 		r.endpoints[id] = b
 	}
 	return b
 }
 
-// Served notes a run with a whole answer. It returns the requests which that shows to do no
-// harm: the endpoint has answered them a while ago and goes on to answer others.
+// Served records a complete answer. It returns the requests that this clears: those answered at
+// least survivalTime ago by the same endpoint.
 func (r *Runs) Served(now time.Time, id fleet.EndpointID, f fleet.Fingerprint) []fleet.Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b := r.of(id)
-	b.last = now
-	var harmless []fleet.Fingerprint
-	for other, at := range b.served {
-		if now.Sub(at) >= survivedFor {
-			harmless = append(harmless, other)
-			delete(b.served, other)
+	b := r.forEndpoint(id)
+	b.lastRunAt = now
+	var cleared []fleet.Fingerprint
+	for other, at := range b.servedAt {
+		if now.Sub(at) >= survivalTime {
+			cleared = append(cleared, other)
+			delete(b.servedAt, other)
 		}
 	}
-	if _, ok := b.served[f]; !ok {
-		b.served[f] = now
+	if _, ok := b.servedAt[f]; !ok {
+		b.servedAt[f] = now
 	}
-	return harmless
+	return cleared
 }
 
-// Ended takes in that an endpoint has ended at a time, and returns which requests ran there.
+// Ended records that the endpoint crashed at the given time, and returns a report for each request
+// that may have been running there.
 func (r *Runs) Ended(now, at time.Time, id fleet.EndpointID) []fleet.Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.endpoints[id]
-	if b == nil || !b.ended.IsZero() {
+	if b == nil || !b.crashedAt.IsZero() {
 		return nil
 	}
-	b.ended = at
-	b.last = now
+	b.crashedAt = at
+	b.lastRunAt = now
 	var out []fleet.Crash
-	for c, broke := range b.broken {
-		if at.Sub(broke) <= brokenFor {
-			out = append(out, crash(now, id, c, at))
+	for c, brokenAt := range b.brokenAt {
+		if at.Sub(brokenAt) <= brokenWindow {
+			out = append(out, newCrash(now, id, c, at))
 		}
 	}
-	for f, served := range b.served {
-		if at.Sub(served) <= servedFor {
-			out = append(out, crash(now, id, copyOf{request: f}, at))
+	for f, servedAt := range b.servedAt {
+		if at.Sub(servedAt) <= servedWindow {
+			out = append(out, newCrash(now, id, requestCopy{request: f}, at))
 		}
 	}
-	clear(b.broken)
-	clear(b.served)
+	clear(b.brokenAt)
+	clear(b.servedAt)
 	return out
 }
 
-// Lives takes in that an endpoint was found alive: what broke off there before did no harm.
+// Lives records that the endpoint was found alive and discards the runs that broke off before.
 func (r *Runs) Lives(now time.Time, id fleet.EndpointID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,29 +135,29 @@
 	if b == nil {
 		return
 	}
-	maps.DeleteFunc(b.broken, func(_ copyOf, broke time.Time) bool { return now.Sub(broke) > livedFor })
+	maps.DeleteFunc(b.brokenAt, func(_ requestCopy, brokenAt time.Time) bool { return now.Sub(brokenAt) > exitDelay })
 }
 
-// EndedLately tells whether a run has ended at an endpoint so lately that it may be to blame
-// if nobody listens there any more.
+// EndedLately reports whether a run at the endpoint ended recently enough to be the cause if the
+// endpoint now refuses connections.
 func (r *Runs) EndedLately(now time.Time, id fleet.EndpointID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.endpoints[id]
-	return b != nil && b.ended.IsZero() && now.Sub(b.last) <= brokenFor
+	return b != nil && b.crashedAt.IsZero() && now.Sub(b.lastRunAt) <= brokenWindow
 }
 
-// Prune forgets endpoints at which no run has ended lately.
+// Prune removes endpoints without recent runs.
 func (r *Runs) Prune(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, b := range r.endpoints {
-		if now.Sub(b.last) > endedFor {
+		if now.Sub(b.lastRunAt) > runRetention {
 			delete(r.endpoints, id)
 		}
 	}
 }
 
-func crash(now time.Time, id fleet.EndpointID, c copyOf, at time.Time) fleet.Crash {
+func newCrash(now time.Time, id fleet.EndpointID, c requestCopy, at time.Time) fleet.Crash {
 	return fleet.Crash{Request: c.request, Endpoint: id, Ago: now.Sub(at).Milliseconds(), Copy: c.id}
 }
--- a/pkg/quarantine/trial.go
+++ b/pkg/quarantine/trial.go
@@ -9,46 +9,47 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// grantLife is how long a host has for the copy that it may run. One that has lost power with
-// the turn, or was cut off, does not give it back.
-const grantLife = 3 * time.Second
+// grantTTL is how long a grant is valid. A host that fails or is partitioned does not release its
+// grant.
+const grantTTL = 3 * time.Second
 
-// trial is what this host knows of the trial of a suspect. One copy at a time runs over all
-// hosts: a harmful request that comes in many copies at once would reach as many endpoints
-// before the third end shows, and an innocent one is cleared within the time of one run.
+// trial is the state of the trial of a suspect at this host. Only one copy runs at a time over all
+// hosts. Otherwise the copies of a harmful request would crash as many endpoints before the third
+// crash is detected.
 type trial struct {
 	fleet.Trial
-	// since is when the suspect was found, in Unix seconds.
-	since int64
-	// ended is when the last endpoint ended under it, moved when this host learned of the stage.
-	ended, moved time.Time
+	// suspectedAt is when the request became suspect, in Unix seconds.
+	suspectedAt int64
+	// lastCrashAt is when the last endpoint crashed while running the suspect, changedAt when this
+	// host learned of the current stage.
+	lastCrashAt, changedAt time.Time
 }
 
 func (t trial) cleared() bool { return t.Stage == fleet.TrialCleared }
 
-// next is the next round, in which nobody has asked yet.
-func (t trial) next() fleet.Trial { return fleet.Trial{Round: t.Round + 1} }
+// nextRound returns the nextRound round, in its initial stage.
+func (t trial) nextRound() fleet.Trial { return fleet.Trial{Round: t.Round + 1} }
 
-// block is the trial as other hosts are told of it.
-func (t trial) block(now time.Time, content uint64) fleet.Block {
-	b := fleet.Block{Request: anyOf(content), Since: t.since, Suspect: true, Trial: t.Trial}
-	b.Trial.EndedAgo = now.Sub(t.ended).Milliseconds()
+// toBlock returns the trial in the form in which hosts exchange it.
+func (t trial) toBlock(now time.Time, content uint64) fleet.Block {
+	b := fleet.Block{Request: fromAnyCaller(content), Since: t.suspectedAt, Suspect: true, Trial: t.Trial}
+	b.Trial.EndedAgo = now.Sub(t.lastCrashAt).Milliseconds()
 	return b
 }
 
-func anyOf(content uint64) fleet.BlockedRequest {
+func fromAnyCaller(content uint64) fleet.BlockedRequest {
 	return fleet.BlockedRequest{Content: content, Caller: fleet.AnyCaller}
 }
 
-// mixTrial spreads a trial over all bits.
-func mixTrial(t fleet.Trial) uint64 {
+// hashTrial returns a hash of the trial for the checksum.
+func hashTrial(t fleet.Trial) uint64 {
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, strconv.FormatInt(t.Round, 16)+t.Stage.String()+t.Host) // A hash takes all bytes.
+	_, _ = io.WriteString(h, strconv.FormatInt(t.Round, 16)+t.Stage.String()+t.Host) // A hash never returns an error.
 	return h.Sum64()
 }
 
-// addTrial takes in a trial and tells whether it is later than what is known. The blocks are
-// locked.
+// addTrial stores the trial and reports whether it is later than the known one. It must be called
+// with b.mu held.
 func (b *Blocks) addTrial(now time.Time, x fleet.Block) bool {
 	content := x.Request.Content
 	old, known := b.trials[content]
@@ -57,31 +58,31 @@
 	}
 	var before uint64
 	if known {
-		before = mix(old.block(now, content))
+		before = hashBlock(old.toBlock(now, content))
 	}
-	t := trial{Trial: x.Trial, since: max(x.Since, old.since), moved: now}
+	t := trial{Trial: x.Trial, suspectedAt: max(x.Since, old.suspectedAt), changedAt: now}
 	t.EndedAgo = 0
-	t.ended = now.Add(-time.Duration(x.Trial.EndedAgo) * time.Millisecond)
+	t.lastCrashAt = now.Add(-time.Duration(x.Trial.EndedAgo) * time.Millisecond)
 	b.trials[content] = t
-	b.changed(before ^ mix(t.block(now, content)))
+	b.recordChange(before ^ hashBlock(t.toBlock(now, content)))
 	return true
 }
 
-// move sets the stage of a trial if it is still as it was, and tells whether it was.
-func (b *Blocks) move(now time.Time, content uint64, from, to fleet.Trial) bool {
+// advanceTrial sets the stage of the trial and reports whether it was still in the stage from.
+func (b *Blocks) advanceTrial(now time.Time, content uint64, from, to fleet.Trial) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t, ok := b.trials[content]
 	if !ok || t.Trial != from {
 		return false
 	}
-	x := t.block(now, content)
+	x := t.toBlock(now, content)
 	to.EndedAgo = x.Trial.EndedAgo
 	x.Trial = to
 	return b.addTrial(now, x)
 }
 
-// trialOf returns the trial of a content.
+// trialOf returns the trial of the content.
 func (b *Blocks) trialOf(content uint64) (t trial, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,7 +90,7 @@
 	return t, ok
 }
 
-// openTrials returns the trials that are not over, by content.
+// openTrials returns the trials that have not ended, by content.
 func (b *Blocks) openTrials() map[uint64]trial {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,7 +103,7 @@
 	return out
 }
 
-// Suspected tells whether a request is on trial.
+// Suspected reports whether the request is on trial.
 func (b *Blocks) Suspected(f fleet.Fingerprint) bool {
 	t, ok := b.trialOf(f.Content)
 	return ok && !t.cleared()
--- a/pkg/quarantine/trial_test.go
+++ b/pkg/quarantine/trial_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// hostNamed returns the guard of a host at whose endpoints nothing ends any more.
-func hostNamed(name string) *quarantine.Guard {
+// newHost returns the guard of a host for which all endpoints are alive.
+func newHost(name string) *quarantine.Guard {
 	return quarantine.NewGuard(quarantine.Config{
 		Host:      name,
 		Ended:     func(context.Context, fleet.Endpoint) (bool, error) { return false, nil },
@@ -28,16 +28,16 @@
 	})
 }
 
-// endedUnder lets a host learn that an endpoint has ended under so many copies of a request.
-func endedUnder(g *quarantine.Guard, endpoint string, content uint64, copies int) {
+// addCrash records that an endpoint crashed while running several copies of a request.
+func addCrash(g *quarantine.Guard, endpoint string, content uint64, copies int) {
 	for i := range copies {
-		c := fleet.Crash{Request: by(client, content)[0], Endpoint: fleet.EndpointID(endpoint), Copy: fleet.CopyID(i + 1)}
+		c := fleet.Crash{Request: requestsBy(client, content)[0], Endpoint: fleet.EndpointID(endpoint), Copy: fleet.CopyID(i + 1)}
 		g.Ledger.Add(time.Now(), []fleet.Crash{c})
 	}
 }
 
-// tick lets hosts tell one another of trials, the first one being the controller.
-func tick(hosts ...*quarantine.Guard) {
+// exchange lets the hosts exchange trials. The first one is the controller.
+func exchange(hosts ...*quarantine.Guard) {
 	now := time.Now()
 	hosts[0].Decide(now)
 	hosts[0].Grant(now)
@@ -50,18 +50,17 @@
 	time.Sleep(20 * time.Millisecond)
 }
 
-// Copies of one request come to several hosts after an endpoint has ended under three of them.
-// Each host has one go ahead, and only one host at a time lets it run: together they would
-// end as many endpoints before the third end shows.
-func TestOneCopyRunsOverAllHosts(t *testing.T) {
+// Copies of a suspect request arrive at several hosts. If more than one host ran a copy at a time,
+// they would crash as many endpoints before the third crash is detected.
+func TestOneCopyRunsAcrossAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		hosts := []*quarantine.Guard{hostNamed("a"), hostNamed("b"), hostNamed("c")}
-		endedUnder(hosts[0], "e", harmful, 3)
+		hosts := []*quarantine.Guard{newHost("a"), newHost("b"), newHost("c")}
+		addCrash(hosts[0], "e", harmful, 3)
 		for range 50 {
-			tick(hosts...)
+			exchange(hosts...)
 		}
-		f := by(client, harmful)[0]
+		f := requestsBy(client, harmful)[0]
 		running := make(chan serve.Probe, 9)
 		for _, g := range hosts {
 			for range 3 {
@@ -69,7 +68,7 @@
 					for {
 						p, _ := g.Enter(t.Context(), f, time.Now().Add(time.Hour))
 						if p == nil {
-							return // it is blocked
+							return // the request is blocked
 						}
 						if p.Await(t.Context()) {
 							running <- p
@@ -82,15 +81,15 @@
 		}
 		for round := range 2 {
 			for range 60 {
-				tick(hosts...)
+				exchange(hosts...)
 			}
 			is.Equal(len(running), 1)
-			endedUnder(hosts[0], fmt.Sprint("further", round), harmful, 1)
+			addCrash(hosts[0], fmt.Sprint("further", round), harmful, 1)
 			(<-running).Done(fleet.Endpoint{}, serve.ProbeBroken)
 			time.Sleep(2 * time.Second)
 		}
 		for range 100 {
-			tick(hosts...)
+			exchange(hosts...)
 		}
 		is.Equal(len(running), 0)
 		for _, g := range hosts {
@@ -99,112 +98,113 @@
 	})
 }
 
-// A copy that was under way before the trial ends an endpoint. No other may run before that end
-// is judged: it may be the third one.
-func TestNoTurnBeforeTheLastEndIsJudged(t *testing.T) {
+// A copy that was running before the trial started crashes another endpoint. No copy may be granted
+// before that crash has been evaluated.
+func TestNoGrantBeforeLastCrashIsEvaluated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := hostNamed("a")
-		endedUnder(g, "e", harmful, 3)
+		g := newHost("a")
+		addCrash(g, "e", harmful, 3)
 		for range 100 {
-			tick(g)
+			exchange(g)
 		}
-		endedUnder(g, "e2", harmful, 1)
-		p, ok := g.Enter(t.Context(), by(client, harmful)[0], time.Now().Add(time.Hour))
+		addCrash(g, "e2", harmful, 1)
+		p, ok := g.Enter(t.Context(), requestsBy(client, harmful)[0], time.Now().Add(time.Hour))
 		is.True(ok)
-		turn := make(chan bool, 1)
-		go func() { turn <- p.Await(t.Context()) }()
+		granted := make(chan bool, 1)
+		go func() { granted <- p.Await(t.Context()) }()
 		for range 40 {
-			tick(g)
+			exchange(g)
 		}
-		is.Equal(len(turn), 0)
+		is.Equal(len(granted), 0)
 		for range 10 {
-			tick(g)
+			exchange(g)
 		}
-		is.True(<-turn)
+		is.True(<-granted)
 		p.Done(fleet.Endpoint{}, serve.ProbeNotRun)
 	})
 }
 
-// Copies of a popular request ended with an endpoint that failed by itself. One that began
-// since and was answered ends its trial everywhere: nobody has to wait for a copy to be tried.
-func TestServedCopyEndsTheTrial(t *testing.T) {
+// Copies of a harmless request were running at an endpoint that crashed. A copy that is sent and
+// answered later must clear the request at all hosts without a probe.
+func TestServedCopyClearsTheTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		hosts := []*quarantine.Guard{hostNamed("a"), hostNamed("b")}
-		f := by(client, innocent)[0]
-		endedUnder(hosts[0], "e", innocent, 3)
+		hosts := []*quarantine.Guard{newHost("a"), newHost("b")}
+		f := requestsBy(client, innocent)[0]
+		addCrash(hosts[0], "e", innocent, 3)
 		time.Sleep(100 * time.Millisecond)
-		began := time.Now()
+		sentAt := time.Now()
 		time.Sleep(100 * time.Millisecond)
-		hosts[1].Served(fleet.Endpoint{ID: "e2"}, f, began)
+		hosts[1].Served(fleet.Endpoint{ID: "e2"}, f, sentAt)
 		for range 60 {
-			tick(hosts...)
+			exchange(hosts...)
 		}
 		for _, g := range hosts {
 			is.True(!g.Suspected(f))
 		}
-		endedUnder(hosts[0], "e3", innocent, 1)
+		addCrash(hosts[0], "e3", innocent, 1)
 		for range 25 {
-			tick(hosts...)
+			exchange(hosts...)
 		}
-		is.True(!hosts[0].Suspected(f)) // the end before counts no more
-		endedUnder(hosts[0], "e4", innocent, 3)
+		is.True(!hosts[0].Suspected(f)) // the earlier crash no longer counts
+		addCrash(hosts[0], "e4", innocent, 3)
 		for range 25 {
-			tick(hosts...)
+			exchange(hosts...)
 		}
 		is.True(hosts[1].Suspected(f))
 	})
 }
 
-// A rack fails, and several copies of a popular request ran at one of its endpoints, none at
-// another: what ended both is no request.
-func TestEndsBesideOthersPutNothingOnTrial(t *testing.T) {
+// Endpoints crash together and the copies of one request ran at only one of them. The request is
+// not the cause.
+func TestCorrelatedCrashesStartNoTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := hostNamed("a")
-		endedUnder(g, "e", innocent, 3)
-		endedUnder(g, "e2", other, 1)
+		g := newHost("a")
+		addCrash(g, "e", innocent, 3)
+		addCrash(g, "e2", other, 1)
 		for range 50 {
-			tick(g)
+			exchange(g)
 		}
-		is.True(!g.Suspected(by(client, innocent)[0]))
+		is.True(!g.Suspected(requestsBy(client, innocent)[0]))
 	})
 }
 
-// A host with the turn loses power. The others would wait for it until the trial is forgotten.
-func TestTurnOfALostHostEnds(t *testing.T) {
+// A host that has a grant fails. The grant must expire, or no other copy runs until the trial
+// itself does.
+func TestGrantOfFailedHostExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := hostNamed("a")
-		endedUnder(g, "e", harmful, 3)
+		g := newHost("a")
+		addCrash(g, "e", harmful, 3)
 		time.Sleep(time.Second)
-		tick(g)
+		exchange(g)
 		g.Take(time.Now(), []fleet.Block{{
 			Request: fleet.BlockedRequest{Content: harmful}, Since: time.Now().Unix(), Suspect: true,
 			Trial: fleet.Trial{Stage: fleet.TrialGranted, Host: "lost"},
 		}})
-		p, ok := g.Enter(t.Context(), by(client, harmful)[0], time.Now().Add(time.Hour))
+		p, ok := g.Enter(t.Context(), requestsBy(client, harmful)[0], time.Now().Add(time.Hour))
 		is.True(ok)
 		is.True(!p.Await(t.Context()))
 		p.Done(fleet.Endpoint{}, serve.ProbeNotRun)
 		for range 100 {
-			tick(g)
+			exchange(g)
 		}
-		p, _ = g.Enter(t.Context(), by(client, harmful)[0], time.Now().Add(time.Hour))
-		turn := make(chan bool, 1)
-		go func() { turn <- p.Await(t.Context()) }()
+		p, _ = g.Enter(t.Context(), requestsBy(client, harmful)[0], time.Now().Add(time.Hour))
+		granted := make(chan bool, 1)
+		go func() { granted <- p.Await(t.Context()) }()
 		for range 10 {
-			tick(g)
+			exchange(g)
 		}
-		is.True(<-turn)
+		is.True(<-granted)
 		p.Done(fleet.Endpoint{}, serve.ProbeNotRun)
 	})
 }
 
-// Hosts learn of the stages of a trial in any order and more than once. They agree in the end,
-// by the sum that they compare too.
-func TestHostsAgreeOnATrial(t *testing.T) {
+// Hosts receive the stages of a trial in any order and more than once. They must converge to the
+// same state and checksum.
+func TestHostsConvergeOnTrial(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stages := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fleet.Block {
 			return fleet.Block{
@@ -220,7 +220,7 @@
 		a.Add(start(), stages)
 		b.Add(start(), rapid.Permutation(append(stages, stages[0])).Draw(t, "other order"))
 		if a.Sum() != b.Sum() {
-			t.Fatalf("%v and %v", a.All(start()), b.All(start()))
+			t.Fatalf("checksums differ: one host has %v, the other %v", a.All(start()), b.All(start()))
 		}
 	})
 }
