--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -15,87 +15,89 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, 30, 10) }
 
-// What an account may ask, in tokens, and what may be let through of it in a window.
+// The allowance of the account, and the window and tolerance of the bound.
 const (
 	rate   = 100_000.0
 	burst  = 100_000.0
 	window = 8 * time.Second
-	// over and slack are what a window may hold beyond rate and burst.
+	// over and slack are the tolerance beyond rate and burst.
 	over  = 0.1
 	slack = 50_000.0
 )
 
 const step = 10 * time.Millisecond
 
-// message arrives at a time.
+// message is a message that is delivered at the time at.
 type message struct {
-	at   time.Time
-	take func()
+	at      time.Time
+	deliver func()
 }
 
-// fleetOf plays hosts that report to the first one and are told by it.
-type fleetOf struct {
-	random  *rand.Rand
-	now     time.Time
-	hosts   []*allowance.Local
-	sums    *allowance.Sums
-	levels  *allowance.Levels
-	under   []message
-	account fleet.Account
-	// weight is the part of the callers that sit at each host, cut until when each is cut off.
-	weight []float64
-	cut    []time.Time
-	// let is what was let through in each step, asked what was asked.
-	let, asked []float64
-	refused    int
-	// own is what each host could not tell yet.
-	own []*allowance.Sums
-	// rising is where a jump has to be told at once.
-	rising []bool
+// simulation simulates hosts that report to the first one and receive levels from it.
+type simulation struct {
+	random   *rand.Rand
+	now      time.Time
+	hosts    []*allowance.Local
+	sums     *allowance.Sums
+	levels   *allowance.Levels
+	inFlight []message
+	account  fleet.Account
+	// weight is the part of the callers at each host, partitionedUntil until when each host is
+	// partitioned.
+	weight           []float64
+	partitionedUntil []time.Time
+	// admitted is the amount admitted in each step, requested the amount requested.
+	admitted, requested []float64
+	refused             int
+	// unsent holds the reports that each host could not send yet.
+	unsent []*allowance.Sums
+	// risen is set where a rise has to be reported at once.
+	risen []bool
 }
 
-func newFleet(seed uint64, hosts, with int) *fleetOf {
-	f := &fleetOf{
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		now:     time.Unix(1000, 0),
-		sums:    allowance.NewSums(),
-		levels:  allowance.NewLevels(allowance.Tolerance{Over: over, Slack: slack, Window: window}),
-		weight:  make([]float64, hosts),
-		cut:     make([]time.Time, hosts),
-		account: fleet.Account{Name: "a", Allowance: fleet.Allowance{Unit: fleet.Tokens, Rate: rate, Burst: burst}},
+func newSimulation(seed uint64, hosts, callers int) *simulation {
+	f := &simulation{
+		random:           rand.New(rand.NewPCG(seed, 1)),
+		now:              time.Unix(1000, 0),
+		sums:             allowance.NewSums(),
+		levels:           allowance.NewLevels(allowance.Tolerance{Over: over, Slack: slack, Window: window}),
+		weight:           make([]float64, hosts),
+		partitionedUntil: make([]time.Time, hosts),
+		account:          fleet.Account{Name: "a", Allowance: fleet.Allowance{Unit: fleet.Tokens, Rate: rate, Burst: burst}},
 	}
-	f.rising = make([]bool, hosts)
+	f.risen = make([]bool, hosts)
 	for i := range hosts {
-		l := allowance.NewLocal(func() { f.rising[i] = true })
+		l := allowance.NewLocal(func() { f.risen[i] = true })
 		l.SetHosts(hosts)
-		f.own = append(f.own, allowance.NewSums())
+		f.unsent = append(f.unsent, allowance.NewSums())
 		f.hosts = append(f.hosts, l)
 	}
-	for range with {
-		f.weight[f.random.IntN(hosts)] += 1 / float64(with)
+	for range callers {
+		f.weight[f.random.IntN(hosts)] += 1 / float64(callers)
 	}
 	return f
 }
 
-// delay is how long messages between two hosts take, with the wait for the next one.
-func (f *fleetOf) delay() time.Duration {
+// latency returns the random latency of a message, including the wait for the next exchange.
+func (f *simulation) latency() time.Duration {
 	return 60*time.Millisecond + time.Duration(f.random.Int64N(int64(250*time.Millisecond)))
 }
 
-// send tells whether a message from or to a host is under way.
-func (f *fleetOf) send(host int, take func()) bool {
-	if f.cut[host].After(f.now) {
+// send queues a message between a host and the controller, and reports false if the host is
+// partitioned.
+func (f *simulation) send(host int, deliver func()) bool {
+	if f.partitionedUntil[host].After(f.now) {
 		return false
 	}
-	f.under = append(f.under, message{f.now.Add(f.delay()), take})
+	f.inFlight = append(f.inFlight, message{f.now.Add(f.latency()), deliver})
 	return true
 }
 
-// play lets the callers ask for a multiple of the allowance for a while.
-func (f *fleetOf) play(load float64, d time.Duration) {
+// run simulates callers that request load times the allowance for the duration d.
+func (f *simulation) run(load float64, d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
-		f.talk()
-		var let, asked float64
+		f.exchange()
+		var admitted, requested float64
 		for i, h := range f.hosts {
 			for due := load * rate * f.weight[i] * step.Seconds(); due > 0; {
 				cost := 200 + f.random.Float64()*1000
@@ -106,38 +108,38 @@
 					break
 				}
 				due -= cost
-				asked += cost
+				requested += cost
 				if ok, _ := h.Allow(f.now, "a", f.account.Allowance, cost); ok {
-					let += cost
+					admitted += cost
 				} else {
 					f.refused++
 				}
 			}
 		}
-		f.let, f.asked = append(f.let, let), append(f.asked, asked)
+		f.admitted, f.requested = append(f.admitted, admitted), append(f.requested, requested)
 	}
 }
 
-// talk delivers what is due, and lets hosts report and be told.
-func (f *fleetOf) talk() {
+// exchange delivers due messages, and lets hosts report and the controller publish levels.
+func (f *simulation) exchange() {
 	var later []message
-	due := f.under
-	f.under = nil
+	due := f.inFlight
+	f.inFlight = nil
 	for _, m := range due {
 		if m.at.After(f.now) {
 			later = append(later, m)
 			continue
 		}
-		m.take()
+		m.deliver()
 	}
-	f.under = append(f.under, later...)
+	f.inFlight = append(f.inFlight, later...)
 	tick := f.now.UnixMilli()
 	for i, h := range f.hosts[1:] {
-		if tick%200 == 0 || tick%40 == 0 && f.rising[i+1] {
-			f.rising[i+1] = false
-			uses := f.own[i+1].Sum(f.now, h.Uses(f.now), allowance.RelayLife)
+		if tick%200 == 0 || tick%40 == 0 && f.risen[i+1] {
+			f.risen[i+1] = false
+			uses := f.unsent[i+1].Sum(f.now, h.Uses(f.now), allowance.RelayLife)
 			if !f.send(i+1, func() { f.sums.Take(f.now, fmt.Sprint(i), uses, allowance.ControllerLife) }) {
-				f.own[i+1].AddLet(uses)
+				f.unsent[i+1].AddLet(uses)
 			}
 		}
 	}
@@ -152,67 +154,65 @@
 	}
 }
 
-// most is the most that was let through in any window.
-func (f *fleetOf) most() float64 {
+// maxInWindow returns the most that was admitted within any window.
+func (f *simulation) maxInWindow() float64 {
 	n := int(window / step)
-	sum, most := 0.0, 0.0
-	for i, v := range f.let {
+	sum, maxInWindow := 0.0, 0.0
+	for i, v := range f.admitted {
 		sum += v
 		if i >= n {
-			sum -= f.let[i-n]
+			sum -= f.admitted[i-n]
 		}
-		most = max(most, sum)
+		maxInWindow = max(maxInWindow, sum)
 	}
-	return most
+	return maxInWindow
 }
 
 func bound() float64 { return (rate*window.Seconds()+burst)*(1+over) + slack }
 
-// Callers of an account sit at 12 of 65 hosts and ask for a little more than half of what it
-// may. With an even part for each host three quarters of them were refused.
-func TestNobodyIsRefusedBelowTheLimit(t *testing.T) {
+// The callers of an account connect to a few of many hosts and stay below its limit. No request may
+// be refused because of uneven shares.
+func TestNoRefusalsBelowLimit(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(1, 65, 12)
-	f.play(0, time.Second)
-	f.play(0.55, 20*time.Second)
+	f := newSimulation(1, 65, 12)
+	f.run(0, time.Second)
+	f.run(0.55, 20*time.Second)
 	is.Equal(f.refused, 0)
 }
 
-// One account asks for several times what it may, from one moment to the next, while its
-// callers sit at few hosts. What is let through stays within the window's bound, and
-// comes near what it may ask.
-func TestHotAccountKeepsToItsLimit(t *testing.T) {
+// The rate of an account rises suddenly to several times its limit. The amount admitted must stay
+// within the bound and near the limit, and no request may be refused some time after the rise.
+func TestOverloadedAccountStaysWithinLimit(t *testing.T) {
 	for _, load := range []float64{1.5, 3.5, 4.1, 7} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
-			f := newFleet(2, 65, 12)
-			f.play(0.55, 10*time.Second)
-			start := len(f.let)
-			f.play(load, 12*time.Second)
-			if most := f.most(); most > bound() {
-				t.Errorf("%.0f in a window, %.0f are allowed", most, bound())
+			f := newSimulation(2, 65, 12)
+			f.run(0.55, 10*time.Second)
+			start := len(f.admitted)
+			f.run(load, 12*time.Second)
+			if admitted := f.maxInWindow(); admitted > bound() {
+				t.Errorf("%.0f in a window, %.0f are allowed", admitted, bound())
 			}
 			sum := 0.0
-			for _, v := range f.let[start:] {
+			for _, v := range f.admitted[start:] {
 				sum += v
 			}
 			if least := 0.85 * 12 * rate; sum < least {
-				t.Errorf("%.0f let through in 12 s, at least %.0f are owed", sum, least)
+				t.Errorf("admitted %.0f in 12 s, want at least %.0f", sum, least)
 			}
 			f.refused = 0
-			f.play(0.55, 5*time.Second)
+			f.run(0.55, 5*time.Second)
 			f.refused = 0
-			f.play(0.55, 10*time.Second)
+			f.run(0.55, 10*time.Second)
 			if f.refused > 0 {
-				t.Errorf("%d refused after the account was hot", f.refused)
+				t.Errorf("%d requests refused after the load fell below the limit", f.refused)
 			}
 		})
 	}
 }
 
-// Hundreds of hosts hear nothing, and an account's part of a second is far less than one request at
-// each. What a request took beyond it was forgotten, so that together they let several times
-// the allowance through.
-func TestHostsThatHearNothingOweLargeRequests(t *testing.T) {
+// Hundreds of hosts receive no updates, and a request costs more than a host's share of a second.
+// Its whole cost must be carried over as debt.
+func TestIsolatedHostsCarryDebtOfLargeRequests(t *testing.T) {
 	const hosts, cost = 300, 700.0
 	limited := fleet.Allowance{Unit: fleet.Tokens, Rate: 29_000, Burst: 69_000}
 	var all []*allowance.Local
@@ -222,28 +222,28 @@
 		all = append(all, l)
 	}
 	start := time.Unix(1000, 0)
-	let := 0.0
+	admitted := 0.0
 	for d := time.Duration(0); d < 20*time.Second; d += 100 * time.Millisecond {
 		for _, l := range all {
 			if ok, _ := l.Allow(start.Add(d), "a", limited, cost); ok && d >= 12*time.Second {
-				let += cost
+				admitted += cost
 			}
 		}
 	}
-	most := (limited.Rate*window.Seconds()+limited.Burst)*(1+over) + slack
-	if let > most {
-		t.Errorf("%.0f in a window, %.0f are allowed", let, most)
+	allowed := (limited.Rate*window.Seconds()+limited.Burst)*(1+over) + slack
+	if admitted > allowed {
+		t.Errorf("%.0f in a window, %.0f are allowed", admitted, allowed)
 	}
 }
 
-// mostAway is the part of an account's callers up to which their hosts are cut off at a time.
-// Beyond it, what these hosts let through before they know that they are may exceed the bound.
-const mostAway = 0.4
+// maxPartitioned is the largest part of the callers whose hosts are partitioned in these tests.
+// Beyond it, what the hosts admit before they detect the partition may exceed the bound.
+const maxPartitioned = 0.4
 
-// away is the part of the callers whose hosts are cut off.
-func (f *fleetOf) away() float64 {
+// partitioned returns the part of the callers whose hosts are partitioned.
+func (f *simulation) partitioned() float64 {
 	sum := 0.0
-	for i, until := range f.cut {
+	for i, until := range f.partitionedUntil {
 		if until.After(f.now) {
 			sum += f.weight[i]
 		}
@@ -251,35 +251,35 @@
 	return sum
 }
 
-// Hosts are cut off at any moment, for seconds, while an account that is under its limit or far
-// beyond it asks at some of them. Those cut off hear nothing, and others do not hear of them.
-func TestCutHostsKeepTheSumInBounds(t *testing.T) {
+// Hosts are partitioned at random while an account is below or far beyond its limit. The amount
+// admitted must stay within the bound.
+func TestPartitionedHostsStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 30).Draw(t, "hosts"), rapid.IntRange(1, 20).Draw(t, "callers"))
-		f.play(0.55, 5*time.Second)
+		f := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 30).Draw(t, "hosts"), rapid.IntRange(1, 20).Draw(t, "callers"))
+		f.run(0.55, 5*time.Second)
 		for range rapid.IntRange(1, 3).Draw(t, "spans") {
-			for i := range f.cut[1:] {
-				if f.away()+f.weight[i+1] <= mostAway && rapid.IntRange(0, 5).Draw(t, "cut") == 0 {
-					f.cut[i+1] = f.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "seconds")) * time.Second)
+			for i := range f.partitionedUntil[1:] {
+				if f.partitioned()+f.weight[i+1] <= maxPartitioned && rapid.IntRange(0, 5).Draw(t, "cut") == 0 {
+					f.partitionedUntil[i+1] = f.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "seconds")) * time.Second)
 				}
 			}
-			f.play(rapid.SampledFrom([]float64{0.3, 0.55, 1.2, 4}).Draw(t, "load"), 4*time.Second)
+			f.run(rapid.SampledFrom([]float64{0.3, 0.55, 1.2, 4}).Draw(t, "load"), 4*time.Second)
 		}
-		if most := f.most(); most > bound() {
-			t.Fatalf("%.0f in a window, %.0f are allowed", most, bound())
+		if admitted := f.maxInWindow(); admitted > bound() {
+			t.Fatalf("%.0f in a window, %.0f are allowed", admitted, bound())
 		}
 	})
 }
 
-// Cases in which one guard alone keeps the sum in bounds: hosts that are cut off as their
-// account begins to ask for more, for longer than they are remembered; callers at a single host;
-// an account that has used up what it may ask at once when it begins to ask for more.
-func TestHotAccountInTheWorstCases(t *testing.T) {
+// Cases in which a single mechanism keeps the amount within the bound: hosts that are partitioned
+// while the rate rises, callers at a single host, and an account that has used its burst before the
+// rise.
+func TestOverloadedAccountWorstCases(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		hosts, callers int
 		before, load   float64
-		away           bool
+		partitioned    bool
 		span           time.Duration
 	}{
 		{"cut off as it begins", 20, 20, 0.55, 4.1, true, 6 * time.Second},
@@ -294,56 +294,54 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(8) {
-				f := newFleet(seed, c.hosts, c.callers)
-				f.play(0.55, 6*time.Second)
-				f.play(c.before, c.span)
-				for i := 1; c.away && i < c.hosts; i++ {
-					if f.away()+f.weight[i] <= mostAway {
-						f.cut[i] = f.now.Add(7 * time.Second)
+				f := newSimulation(seed, c.hosts, c.callers)
+				f.run(0.55, 6*time.Second)
+				f.run(c.before, c.span)
+				for i := 1; c.partitioned && i < c.hosts; i++ {
+					if f.partitioned()+f.weight[i] <= maxPartitioned {
+						f.partitionedUntil[i] = f.now.Add(7 * time.Second)
 					}
 				}
-				f.play(c.load, 12*time.Second)
-				if most := f.most(); most > bound() {
-					t.Errorf("seed %d: %.0f in a window, %.0f are allowed", seed, most, bound())
+				f.run(c.load, 12*time.Second)
+				if admitted := f.maxInWindow(); admitted > bound() {
+					t.Errorf("seed %d: %.0f in a window, %.0f are allowed", seed, admitted, bound())
 				}
 			}
 		})
 	}
 }
 
-// An account with a small allowance has callers at 300 hosts, and begins to ask for seven times its
-// rate as two fifths of these are cut off. A request costs several seconds of a host's part, and the
-// first one at each host goes through.
+// An account with a small allowance has callers at hundreds of hosts, where one request costs
+// several seconds of a host's share. Its rate rises while some of the hosts are partitioned.
 func TestSmallAccountAtHundredsOfHosts(t *testing.T) {
 	const hosts, callers, before, load = 300, 600, 0.1, 2.1
 	small := fleet.Allowance{Unit: fleet.Tokens, Rate: 29_000, Burst: 69_000}
 	const tolerated = 110_000
 	for seed := range uint64(3) {
-		f := newFleet(seed, hosts, callers)
+		f := newSimulation(seed, hosts, callers)
 		f.levels = allowance.NewLevels(allowance.Tolerance{Over: over, Slack: tolerated, Window: window})
 		f.account.Allowance = small
-		f.play(before, 12*time.Second)
+		f.run(before, 12*time.Second)
 		for i := 1; i < hosts; i++ {
-			if f.away()+f.weight[i] <= mostAway {
-				f.cut[i] = f.now.Add(7 * time.Second)
+			if f.partitioned()+f.weight[i] <= maxPartitioned {
+				f.partitionedUntil[i] = f.now.Add(7 * time.Second)
 			}
 		}
-		f.play(load, 12*time.Second)
+		f.run(load, 12*time.Second)
 		allowed := (small.Rate*window.Seconds()+small.Burst)*(1+over) + tolerated
-		if most := f.most(); most > allowed {
-			t.Errorf("seed %d: %.0f in a window, %.0f are allowed", seed, most, allowed)
+		if admitted := f.maxInWindow(); admitted > allowed {
+			t.Errorf("seed %d: %.0f in a window, %.0f are allowed", seed, admitted, allowed)
 		}
 	}
 }
 
-// A relay dies, and its hosts ask the controller until they know the next one, which tells for
-// them again. Each was then counted twice for eight seconds, and set aside as one that is cut
-// off: an account near its limit was held far below it.
-func TestHostThatAsksInPlaceOfARelayCountsBriefly(t *testing.T) {
+// A relay fails, and its hosts report to the controller until they use another relay. They must not
+// be counted twice, or as partitioned, for longer than RelayLife.
+func TestReportAfterRelayFailureExpires(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		life  time.Duration
-		aside bool
+		name        string
+		ttl         time.Duration
+		partitioned bool
 	}{
 		{"in place of a relay", allowance.RelayLife, false},
 		{"always, and is cut off", allowance.ControllerLife, true},
@@ -352,37 +350,36 @@
 			is := is.New(t)
 			s := allowance.NewSums()
 			now := time.Unix(1000, 0)
-			s.Take(now, "h", []fleet.AccountUse{{Account: "a", Usual: 100, Served: 100, Let: 10}}, c.life)
+			s.Take(now, "h", []fleet.AccountUse{{Account: "a", Usual: 100, Served: 100, Let: 10}}, c.ttl)
 			now = now.Add(2 * time.Second)
 			uses := s.Sum(now, nil, allowance.ControllerLife)
 			is.Equal(len(uses), 1)
-			is.Equal(uses[0].Usual, 0.0) // it is not heard
-			is.Equal(uses[0].Let, 10.0)  // told once, and counted
-			is.Equal(uses[0].Unheard > 0, c.aside)
+			is.Equal(uses[0].Usual, 0.0) // its last report is too old
+			is.Equal(uses[0].Let, 10.0)  // the admitted amount still counts
+			is.Equal(uses[0].Unheard > 0, c.partitioned)
 		})
 	}
 }
 
-// All hosts start anew, and one that has heard nothing itself answers another. That took the
-// age of what it was told for its own silence, and fell back to an even part, as one
-// does that was cut off for long.
-func TestFreshHostIsNotForgotten(t *testing.T) {
+// All hosts restart, and one that has received no update itself answers another. Its stale answer
+// must not move the receiver from the initial share to the fallback share.
+func TestNewHostIgnoresStaleLevels(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	l := allowance.NewLocal(func() {})
 	is.True(!l.Hear(now, now.Add(-time.Minute), fleet.AccountLevels{}))
-	let := 0
+	admitted := 0
 	for range 2000 {
 		if ok, _ := l.Allow(now, "a", fleet.Allowance{Rate: 100, Burst: 100}, 1); ok {
-			let++
+			admitted++
 		}
 		now = now.Add(5 * time.Millisecond)
 	}
-	is.True(let > 1250) // more than ten seconds of an even part and what is kept of it
+	is.True(admitted > 1250) // more than an equal share would admit in that time
 }
 
-// A request that was let through and has not run costs nothing; one that is refused is told
-// when there is room, and not all the same.
+// A refunded request costs nothing, and refused requests get different retry delays within the
+// bounds.
 func TestRefundAndRetryAfter(t *testing.T) {
 	is := is.New(t)
 	l := allowance.NewLocal(func() {})
--- a/pkg/allowance/local.go
+++ b/pkg/allowance/local.go
@@ -1,13 +1,12 @@
-// Package allowance keeps client accounts within what they may ask of all hosts together. It
-// does no I/O and knows no clock but the times that it is given.
+// Package allowance limits the rate of client accounts over all hosts together. It does no I/O and
+// has no clock of its own.
 //
-// The load pattern: callers of one account sit at a few hosts, unevenly, and now and then send
-// many times their usual. An even part for each host would refuse most of what such an account
-// may ask. Here hosts tell what they see with the reports that they send anyway, and the
-// controller tells all of them which accounts come near their limit (Levels). Of these each
-// host lets through its part of the account's usual rate, and what was let through too much
-// before that was known is taken off again. Of all others it lets through more than is usual
-// there, as far as it takes to learn of a jump (Local).
+// The callers of an account connect to a few hosts, unevenly, and at times send many times their
+// usual rate. Equal shares per host would refuse most of what such an account may use. Therefore
+// hosts report the usage they observe, and the controller publishes which accounts are near their
+// limits (Levels). Of these, each host admits a share in proportion to the usual rate there, less
+// what was admitted in excess before. Of all other accounts it admits some more than the usual
+// rate, enough until the controller learns of a sudden rise (Local).
 package allowance
 
 import (
@@ -20,227 +19,221 @@
 )
 
 const (
-	// momentMemory and usualMemory are the time constants of moving rates. The first shows a
-	// jump that other hosts have to hear of; the second keeps the parts of hosts steady where
-	// an account sends a few requests a second to each.
-	momentMemory = 400 * time.Millisecond
-	usualMemory  = 3 * time.Second
-	// openSpare is how many times the usual rate a host lets through of an account that is far
-	// from its limit, and openKept for how long it keeps what is not asked of that: enough for
-	// what comes unevenly. Until others know of a jump it cannot go far beyond the limit.
-	openSpare = 1.8
-	openKept  = 2 * time.Second
-	// newSpare is how many times the whole allowance a host lets through of an account that it
-	// has not seen for long enough to know what is usual.
-	newSpare = 4
-	// largePart is the part of what may be kept from which a request is let through that costs
-	// more.
-	largePart = 0.5
-	// frozenAfter is how long a host that hears nothing goes on as told. After that it may be
-	// cut off while an account begins to ask for too much, and keeps to its usual rate.
-	frozenAfter = 700 * time.Millisecond
-	// frozenSpare is how much more than usual it lets through then: no account asks the same
-	// in each second.
-	frozenSpare = 1.2
-	// forgottenAfter is how long it does so. Others divide among themselves what it does not
-	// report, so that it has to fall back to an even part.
-	forgottenAfter = 8 * time.Second
-	// freshShare is how many even parts a host has that was never told anything, and freshKept
-	// for how long it has them at once: callers sit unevenly, and after a loss of power of all
-	// hosts some seconds pass until one is told.
-	freshShare = 1.2
-	freshKept  = time.Second
-	// spareShare is the part of an allowance that is divided evenly, so that callers who come
-	// to a host where none of their account were before are not all refused.
-	spareShare = 0.05
-	// keptFor is for how long a host keeps what it may let through and does not: requests come
-	// unevenly, a few a second.
-	keptFor = 1200 * time.Millisecond
-	// owedFor bounds what a host has let through too much, for a request that is larger than
-	// its part of seconds. The controller counts it in any case.
-	owedFor = 1500 * time.Millisecond
-	// owedAlone is the same for a host that hears nothing: nobody else counts what it lets
-	// through, and its part of a second may be far less than one request.
-	owedAlone = 30 * time.Second
-	// minAfter and maxAfter bound what refused callers are told. Clients do not obey more.
-	minAfter = 300 * time.Millisecond
-	maxAfter = 4 * time.Second
-	// idleFor is after how long without a request a host forgets an account.
-	idleFor = 30 * time.Second
-	// risePart is by what part of its allowance the rate of an account has to rise at one host
-	// to be told at once.
-	risePart = 0.03
+	// fastTimeConstant and slowTimeConstant are the time constants of the moving averages of rates.
+	// The first detects a sudden rise that has to be reported at once; the second keeps the shares
+	// of hosts stable for accounts with a few requests a second.
+	fastTimeConstant = 400 * time.Millisecond
+	slowTimeConstant = 3 * time.Second
+	// farFactor is the factor of its usual rate that a host admits of an account that is far from
+	// its limit, and farAccrual the time for which unused parts of that accumulate.
+	farFactor  = 1.8
+	farAccrual = 2 * time.Second
+	// newFactor is the factor of the whole allowance that a host admits of an account until its
+	// usual rate is known.
+	newFactor = 4
+	// largeRequestPart is the part of the bucket's capacity that suffices to admit a request of
+	// higher cost.
+	largeRequestPart = 0.5
+	// staleAfter is how long after the last update a host continues as before. After that it may
+	// be partitioned and admits only a little more than the usual rate.
+	staleAfter = 700 * time.Millisecond
+	// staleFactor is the factor of the usual rate that it admits then.
+	staleFactor = 1.2
+	// expiredAfter is how long after the last update a host falls back to an equal share. From
+	// then on its share is divided among the other hosts.
+	expiredAfter = 8 * time.Second
+	// initialFactor is the factor of an equal share that a host has before its first update, and
+	// initialAccrual the time for which unused parts of it accumulate.
+	initialFactor  = 1.2
+	initialAccrual = time.Second
+	// equalPart is the part of an allowance that is divided equally, so that a host without usual
+	// callers of the account does not refuse all of them.
+	equalPart = 0.05
+	// shareAccrual is the time for which unused parts of a share accumulate.
+	shareAccrual = 1200 * time.Millisecond
+	// debtTime bounds the debt of a bucket after requests that cost more than its share of a
+	// second, as time at the rate of the bucket.
+	debtTime = 1500 * time.Millisecond
+	// staleDebtTime is the same for a host that receives no updates. It is longer, since nobody
+	// else counts what this host admits.
+	staleDebtTime = 30 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay of refused requests.
+	minRetryAfter = 300 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
+	// idleTimeout is how long an account is kept without requests.
+	idleTimeout = 30 * time.Second
+	// minRise is the part of its allowance by which the rate of an account has to rise at one host
+	// to be reported at once.
+	minRise = 0.03
 )
 
-// Local is one host's view of all accounts. It is safe for concurrent use.
+// Local is the rate limiter of one host for all accounts. It is safe for concurrent use.
 type Local struct {
 	mu       sync.Mutex
 	hosts    int
-	accounts map[string]*use
-	told     fleet.AccountLevels
+	accounts map[string]*usage
+	levels   fleet.AccountLevels
 	shares   map[string]float64
-	// heard is when this host was last told which accounts are near their limits.
-	heard time.Time
-	// rising is called without the lock where an account's rate jumps.
-	rising func()
+	// updatedAt is the time as of which this host last received levels.
+	updatedAt time.Time
+	// onRise is called without the lock when the rate of an account rises suddenly.
+	onRise func()
 }
 
-// use is what one account asks of this host.
-type use struct {
+// usage is the usage of one account at this host.
+type usage struct {
 	allowance fleet.Allowance
-	// first is when the account was first seen here.
-	first time.Time
-	// asked and usual are moving rates as of at; usualLet is the part of usual that was let
-	// through.
-	asked, usual, usualLet float64
-	at                     time.Time
-	// let is what was let through since the last report.
-	let float64
-	// confirmed is the usual rate when this host was last told of shares; the sum that they
-	// follow from holds about that.
-	confirmed float64
-	// reported is the rate that was told last.
-	reported float64
-	// bucket is what may be let through at once, below zero what was too much.
-	bucket float64
+	// firstSeen is when the account was first seen here.
+	firstSeen time.Time
+	// fastRate and usualRate are moving averages of the rate as of at; admittedRate is the admitted
+	// part of usualRate.
+	fastRate, usualRate, admittedRate float64
+	at                                time.Time
+	// admitted is the amount admitted since the last report.
+	admitted float64
+	// confirmedRate is the usual rate when this host last received levels, to which the shares
+	// relate.
+	confirmedRate float64
+	// reportedRate is the rate in the last report.
+	reportedRate float64
+	// tokens is the amount that may be admitted at once, below zero a debt.
+	tokens float64
 }
 
-// NewLocal returns a view without accounts. rising is called when other hosts should hear of
-// a rate at once.
-func NewLocal(rising func()) *Local {
-	return &Local{hosts: 1, accounts: map[string]*use{}, rising: rising}
+// NewLocal returns a limiter without accounts. onRise is called when a rate should be reported at
+// once.
+func NewLocal(onRise func()) *Local {
+	return &Local{hosts: 1, accounts: map[string]*usage{}, onRise: onRise}
 }
 
-// SetHosts tells among how many hosts even parts are divided.
+// SetHosts sets the number of hosts for equal shares.
 func (l *Local) SetHosts(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hosts = max(1, n)
 }
 
-// fade moves the rates on to a time.
-func (u *use) fade(now time.Time) {
+// decay decays the moving averages up to now.
+func (u *usage) decay(now time.Time) {
 	dt := now.Sub(u.at).Seconds()
 	if dt <= 0 {
 		return
 	}
-	u.asked *= math.Exp(-dt / momentMemory.Seconds())
-	u.usual *= math.Exp(-dt / usualMemory.Seconds())
-	u.usualLet *= math.Exp(-dt / usualMemory.Seconds())
+	u.fastRate *= math.Exp(-dt / fastTimeConstant.Seconds())
+	u.usualRate *= math.Exp(-dt / slowTimeConstant.Seconds())
+	u.admittedRate *= math.Exp(-dt / slowTimeConstant.Seconds())
 	u.at = now
 }
 
-// Allow counts a request and tells whether it is let through, or else when its caller may
-// come back.
+// Allow counts a request and reports whether it is admitted. If not, it returns when to retry.
 func (l *Local) Allow(now time.Time, account string, a fleet.Allowance, cost float64) (ok bool, after time.Duration) {
 	if !a.Limited() {
 		return true, 0
 	}
-	ok, after, rises := l.allow(now, account, a, cost)
-	if rises {
-		l.rising()
+	ok, after, rise := l.allow(now, account, a, cost)
+	if rise {
+		l.onRise()
 	}
 	return ok, after
 }
 
-func (l *Local) allow(now time.Time, account string, a fleet.Allowance, cost float64) (ok bool, after time.Duration, rises bool) {
+func (l *Local) allow(now time.Time, account string, a fleet.Allowance, cost float64) (ok bool, after time.Duration, rise bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.accounts[account]
-	fresh := u == nil
-	if fresh {
-		u = &use{at: now, first: now}
+	isNew := u == nil
+	if isNew {
+		u = &usage{at: now, firstSeen: now}
 		l.accounts[account] = u
 	}
 	u.allowance = a
 	limit := l.limit(now, account, u)
-	if fresh && !limit.near {
-		u.bucket = limit.kept
+	if isNew && !limit.near {
+		u.tokens = limit.capacity
 	}
 	u.fill(now, limit)
-	u.fade(now)
-	u.asked += cost / momentMemory.Seconds()
-	u.usual += cost / usualMemory.Seconds()
-	rises = u.asked-u.reported > risePart*a.Rate
-	if lack := limit.lack(u.bucket, cost); lack > 0 {
-		return false, retryAfter(lack, limit.rate), rises
+	u.decay(now)
+	u.fastRate += cost / fastTimeConstant.Seconds()
+	u.usualRate += cost / slowTimeConstant.Seconds()
+	rise = u.fastRate-u.reportedRate > minRise*a.Rate
+	if deficit := limit.deficit(u.tokens, cost); deficit > 0 {
+		return false, retryAfter(deficit, limit.rate), rise
 	}
-	u.let += cost
-	u.usualLet += cost / usualMemory.Seconds()
-	u.bucket -= limit.charge(cost)
-	return true, 0, rises
+	u.admitted += cost
+	u.admittedRate += cost / slowTimeConstant.Seconds()
+	u.tokens -= limit.charge(cost)
+	return true, 0, rise
 }
 
-// limit is what a host may let through of one account.
+// limit is what a host may admit of one account.
 type limit struct {
-	// rate is per second; what was not used of it is kept up to kept, and what was let through
-	// beyond it is owed up to owed: nothing where the account is far from its limit.
-	rate, kept, owed float64
-	// near tells that the account is near its allowance.
+	// rate is per second. Unused parts of it accumulate up to capacity. Debt is limited to maxDebt,
+	// which is zero if the account is far from its limit.
+	rate, capacity, maxDebt float64
+	// near is set if the account is near its limit.
 	near bool
 }
 
-func newLimit(rate float64, kept, owed time.Duration) limit {
-	return limit{rate: rate, kept: rate * kept.Seconds(), owed: rate * owed.Seconds()}
+func newLimit(rate float64, accrual, debt time.Duration) limit {
+	return limit{rate: rate, capacity: rate * accrual.Seconds(), maxDebt: rate * debt.Seconds()}
 }
 
-// charge is what a request takes off a bucket: not more than it needs there where nothing is
-// owed. What is usual counts all of it.
+// charge returns what a request takes off the bucket. Without debt that is at most what the request
+// needs to be admitted; the usual rate counts its full cost.
 func (l limit) charge(cost float64) float64 {
-	if l.owed == 0 {
-		return min(cost, largePart*l.kept)
+	if l.maxDebt == 0 {
+		return min(cost, largeRequestPart*l.capacity)
 	}
 	return cost
 }
 
-// lack is what a bucket lacks to let a request through. One that is larger than what is ever
-// kept needs a part of that only.
-func (l limit) lack(bucket, cost float64) float64 {
-	return max(0, min(cost, largePart*l.kept)-bucket)
+// deficit returns what the bucket lacks to admit a request, 0 if nothing. A request that costs more
+// than the capacity allows needs only a part of it.
+func (l limit) deficit(tokens, cost float64) float64 {
+	return max(0, min(cost, largeRequestPart*l.capacity)-tokens)
 }
 
-// fill adds to the bucket what may be let through since it was last looked at.
-func (u *use) fill(now time.Time, l limit) {
-	u.bucket += l.rate * max(0, now.Sub(u.at).Seconds())
-	u.bucket = min(max(u.bucket, -l.owed), l.kept)
+// fill refills the bucket for the time since it was last updated.
+func (u *usage) fill(now time.Time, l limit) {
+	u.tokens += l.rate * max(0, now.Sub(u.at).Seconds())
+	u.tokens = min(max(u.tokens, -l.maxDebt), l.capacity)
 }
 
-// limit is what this host may let through of an account now.
-func (l *Local) limit(now time.Time, account string, u *use) limit {
-	even := u.allowance.Rate / float64(l.hosts)
-	silence := now.Sub(l.heard)
+// limit returns what this host may admit of the account now.
+func (l *Local) limit(now time.Time, account string, u *usage) limit {
+	equal := u.allowance.Rate / float64(l.hosts)
+	age := now.Sub(l.updatedAt)
 	share, near := l.shares[account]
 	switch {
-	case l.heard.IsZero():
-		return newLimit(freshShare*even, freshKept, owedAlone)
-	case silence >= forgottenAfter:
-		return newLimit(even, keptFor, owedAlone)
+	case l.updatedAt.IsZero():
+		return newLimit(initialFactor*equal, initialAccrual, staleDebtTime)
+	case age >= expiredAfter:
+		return newLimit(equal, shareAccrual, staleDebtTime)
 	case near:
-		part := newLimit((1-spareShare)*share*u.confirmed+spareShare*even, keptFor, owedFor)
+		part := newLimit((1-equalPart)*share*u.confirmedRate+equalPart*equal, shareAccrual, debtTime)
 		part.near = true
 		return part
-	case silence >= frozenAfter:
-		return newLimit(max(even, frozenSpare*u.served()), keptFor, owedAlone)
-	case now.Sub(u.first) < usualMemory:
-		return newLimit(newSpare*u.allowance.Rate, openKept, 0)
+	case age >= staleAfter:
+		return newLimit(max(equal, staleFactor*u.servedRate()), shareAccrual, staleDebtTime)
+	case now.Sub(u.firstSeen) < slowTimeConstant:
+		return newLimit(newFactor*u.allowance.Rate, farAccrual, 0)
 	}
-	return newLimit(max(even, openSpare*u.served()), openKept, 0)
+	return newLimit(max(equal, farFactor*u.servedRate()), farAccrual, 0)
 }
 
-// served is the rate that was usual here and was let through: after an account has asked for
-// too much, the rest of that is no measure.
-func (u *use) served() float64 { return min(u.confirmed, u.usualLet) }
+// servedRate returns the usual rate that was admitted. Refused requests do not raise it.
+func (u *usage) servedRate() float64 { return min(u.confirmedRate, u.admittedRate) }
 
-// retryAfter is when there is room again, spread so that callers do not return together.
-func retryAfter(lack, part float64) time.Duration {
-	after := minAfter
-	if part > 0 {
-		after = max(after, min(maxAfter, time.Duration(lack/part*float64(time.Second))))
+// retryAfter returns when to retry, with random jitter so that callers do not return together.
+func retryAfter(deficit, rate float64) time.Duration {
+	after := minRetryAfter
+	if rate > 0 {
+		after = max(after, min(maxRetryAfter, time.Duration(deficit/rate*float64(time.Second))))
 	}
-	return min(maxAfter, after+rand.N(after))
+	return min(maxRetryAfter, after+rand.N(after))
 }
 
-// Refund takes back a request that was let through and has not run.
+// Refund returns the cost of a request that was admitted but has not run.
 func (l *Local) Refund(now time.Time, account string, cost float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -248,63 +241,63 @@
 	if u == nil {
 		return
 	}
-	u.fade(now)
-	u.bucket += cost
-	u.let -= cost
-	u.usualLet = max(0, u.usualLet-cost/usualMemory.Seconds())
+	u.decay(now)
+	u.tokens += cost
+	u.admitted -= cost
+	u.admittedRate = max(0, u.admittedRate-cost/slowTimeConstant.Seconds())
 }
 
-// Uses returns what the accounts ask of this host, to be told to others. What was let through
-// is told once.
+// Uses returns the usage of accounts at this host to be reported. Admitted amounts are returned
+// once.
 func (l *Local) Uses(now time.Time) []fleet.AccountUse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []fleet.AccountUse
 	for account, u := range l.accounts {
-		if now.Sub(u.at) > idleFor {
+		if now.Sub(u.at) > idleTimeout {
 			delete(l.accounts, account)
 			continue
 		}
 		u.fill(now, l.limit(now, account, u))
-		u.fade(now)
-		u.reported = u.asked
-		if u.usual < leastTold*u.allowance.Rate && u.let <= 0 {
+		u.decay(now)
+		u.reportedRate = u.fastRate
+		if u.usualRate < minReportedPart*u.allowance.Rate && u.admitted <= 0 {
 			continue
 		}
-		out = append(out, fleet.AccountUse{Account: account, Usual: u.usual, Served: u.usualLet, Let: u.let})
-		u.let = 0
+		out = append(out, fleet.AccountUse{Account: account, Usual: u.usualRate, Served: u.admittedRate, Let: u.admitted})
+		u.admitted = 0
 	}
 	return out
 }
 
-// Told returns what this host was told last.
+// Told returns the last levels that this host received.
 func (l *Local) Told() fleet.AccountLevels {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.told
+	return l.levels
 }
 
-// Hear takes in which accounts are near their limits, as of some time. It tells whether that
-// is newer than what was known.
+// Hear applies the levels as of the time asOf, and reports whether they are newer than the known
+// ones.
 func (l *Local) Hear(now, asOf time.Time, t fleet.AccountLevels) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.told.NewerThan(t) {
+	if l.levels.NewerThan(t) {
 		return false
 	}
-	if l.heard.IsZero() && now.Sub(asOf) >= frozenAfter {
-		return false // The host that tells it has heard nothing lately itself.
+	if l.updatedAt.IsZero() && now.Sub(asOf) >= staleAfter {
+		return false // The sender has received no recent update itself.
 	}
-	if asOf.After(l.heard) {
-		l.heard = asOf
+	if asOf.After(l.updatedAt) {
+		l.updatedAt = asOf
 	}
 	for _, u := range l.accounts {
-		u.confirmed = u.usual
+		u.confirmedRate = u.usualRate
 	}
-	if !t.NewerThan(l.told) {
+	if !t.NewerThan(l.levels) {
 		return false
 	}
-	l.told = t
+	l.levels = t
 	l.shares = make(map[string]float64, len(t.Levels))
 	for _, x := range t.Levels {
 		l.shares[x.Account] = x.Share
