--- a/pkg/signals/table.go
+++ b/pkg/signals/table.go
@@ -1,12 +1,11 @@
-// Package signals keeps what endpoints say of themselves in their answers: how many requests a
-// second they take from all hosts together, that they leave, and for how long they want nothing
-// of this host. It does no I/O and knows no clock but the times that it is given.
+// Package signals keeps what endpoints signal in their answers: how many requests per second they
+// accept from all hosts together, that they are shutting down, and that they accept no requests
+// from this host for some time. It does no I/O and has no clock of its own.
 //
-// The load pattern of stated rates: an endpoint in need takes one to some tens of requests a
-// second, about as many as there are hosts that send to it, or far fewer. A host that has seen
-// such an answer tells the others, and a few hosts, the same ones in each host's view, divide the
-// rate among themselves. No sums pass between hosts: the few requests that an endpoint allows
-// beyond its rate would be used up before a sum is known.
+// An overloaded endpoint advertises a rate of up to some tens of requests per second, for all hosts
+// that send to it. A host that receives such an answer notifies the others, and a few hosts, which
+// all hosts choose alike, share the rate. No usage is exchanged between hosts: the small excess
+// that an endpoint tolerates would be used up before a sum is known.
 package signals
 
 import (
@@ -21,81 +20,82 @@
 )
 
 const (
-	// refreshAfter is how old the news of a rate has to be for a host that still sees it stated
-	// to tell it anew, and rateLife how long a rate holds where nobody sees it: an endpoint to
-	// which nobody sends cannot show that it states none any more.
+	// refreshAfter is the age from which on a host that still observes a rate sends it to the
+	// others again. rateTTL is how long a rate is valid without that: an endpoint that receives no
+	// requests cannot signal that its limit has ended.
 	refreshAfter = 3 * time.Second
-	rateLife     = 10 * time.Second
-	// sameRate is by what part a stated rate has to change to be told anew.
-	sameRate = 0.05
+	rateTTL      = 10 * time.Second
+	// minRateChange is the relative change from which on a new rate is sent to the others.
+	minRateChange = 0.05
 )
 
-// Answer is what one answer says of its endpoint.
+// Answer holds the signals in one answer of an endpoint.
 type Answer struct {
-	// Rate is how many requests a second the endpoint takes from all hosts together, nil if
-	// it states none.
+	// Rate is the number of requests per second that the endpoint accepts from all hosts together,
+	// nil if it advertises none.
 	Rate *float64
-	// Leaving endpoints end soon.
+	// Leaving is set if the endpoint is shutting down.
 	Leaving bool
-	// Pause is for how long the endpoint wants no requests of this host, 0 for no pause.
+	// Pause is how long the endpoint accepts no requests from this host, 0 for no pause.
 	Pause time.Duration
 }
 
-// Table is what is known of all endpoints. It is safe for concurrent use.
+// Table holds the signals of all endpoints. It is safe for concurrent use.
 type Table struct {
 	mu         sync.Mutex
 	byEndpoint map[fleet.EndpointID]*state
-	// pausedUntil is until when endpoints want no requests of this host.
+	// pausedUntil is when the pause of each endpoint ends.
 	pausedUntil map[fleet.EndpointID]time.Time
-	// sent counts this host's requests to each endpoint.
-	sent  map[fleet.EndpointID]*recent
-	self  string
-	hosts []string
-	// version counts the changes at this host, sum is the same wherever the same is known.
-	version int64
-	sum     uint64
-	// Changed is called without the lock where an answer to this host has told something new
-	// that concerns all hosts. It may be nil, and is set before first use.
+	// requests counts this host's recent requests to each endpoint.
+	requests map[fleet.EndpointID]*requestCounter
+	self     string
+	hosts    []string
+	// version is incremented on each local change. checksum is an order-independent hash of all
+	// signals, which hosts compare.
+	version  int64
+	checksum uint64
+	// Changed is called without the lock when an answer to this host has changed a signal that
+	// concerns all hosts. It may be nil, and must be set before first use.
 	Changed func(fleet.EndpointSignal)
 }
 
-// state is what is known of one endpoint.
+// state is the state of one endpoint.
 type state struct {
 	fleet.EndpointSignal
 	bucket
-	// learned is when this host learned of the rate that is known now.
-	learned time.Time
+	// learnedAt is when this host learned of the current rate.
+	learnedAt time.Time
 }
 
-// limited tells whether a stated rate binds.
+// limited reports whether an advertised rate is in force.
 func (x *state) limited(now time.Time) bool {
-	return x != nil && x.Limited && now.Sub(x.learned) < rateLife
+	return x != nil && x.Limited && now.Sub(x.learnedAt) < rateTTL
 }
 
-// New returns an empty table, for a host that knows no other.
+// New returns an empty table for a host that knows no others.
 func New() *Table {
 	return &Table{
 		byEndpoint:  map[fleet.EndpointID]*state{},
 		pausedUntil: map[fleet.EndpointID]time.Time{},
-		sent:        map[fleet.EndpointID]*recent{},
+		requests:    map[fleet.EndpointID]*requestCounter{},
 		hosts:       []string{""},
 	}
 }
 
-// SetHosts tells this host's name and those of all others.
+// SetHosts sets the name of this host and those of all others.
 func (t *Table) SetHosts(self string, others []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self = self
 	t.hosts = append([]string{self}, others...)
 	for _, x := range t.byEndpoint {
-		x.part = t.part(x)
+		x.share = t.share(x)
 	}
 }
 
-// Observe takes in what an endpoint says in the answer to a request that was sent at some time.
-// That it states no rate counts only where it ran the request (ran), and where the request was
-// sent after the rate was learned: an earlier answer may come late.
+// Observe applies the signals in the answer to a request that was sent at the time sent. An answer
+// without a rate ends the limit only if the endpoint ran the request (ran) and the request was sent
+// after the rate was learned, since answers may arrive late.
 func (t *Table) Observe(now time.Time, id fleet.EndpointID, a Answer, sent time.Time, ran bool) {
 	changed, ok := t.observe(now, id, a, sent, ran)
 	if ok && t.Changed != nil {
@@ -106,7 +106,7 @@
 func (t *Table) observe(now time.Time, id fleet.EndpointID, a Answer, sent time.Time, ran bool) (fleet.EndpointSignal, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// An earlier, longer pause holds on.
+	// A later pause does not shorten an earlier one.
 	if until := now.Add(a.Pause); a.Pause > 0 && until.After(t.pausedUntil[id]) {
 		t.pausedUntil[id] = until
 	}
@@ -117,92 +117,93 @@
 	}
 	next.Leaving = next.Leaving || a.Leaving
 	switch {
-	case a.Rate != nil && !x.states(now, *a.Rate):
+	case a.Rate != nil && !x.isCurrent(now, *a.Rate):
 		next.Limited, next.Rate = true, *a.Rate
 		next.Version++
-	case a.Rate == nil && x != nil && x.Limited && ran && sent.After(x.learned):
+	case a.Rate == nil && x != nil && x.Limited && ran && sent.After(x.learnedAt):
 		next.Limited, next.Rate = false, 0
 		next.Version++
 	}
-	return next, t.set(now, next)
+	return next, t.store(now, next)
 }
 
-// states tells whether a rate is known and need not be told anew.
-func (x *state) states(now time.Time, rate float64) bool {
-	return x.limited(now) && math.Abs(x.Rate-rate) <= sameRate*x.Rate && now.Sub(x.learned) < refreshAfter
+// isCurrent reports whether the rate is known and recent, so that it need not be sent again.
+func (x *state) isCurrent(now time.Time, rate float64) bool {
+	return x.limited(now) && math.Abs(x.Rate-rate) <= minRateChange*x.Rate && now.Sub(x.learnedAt) < refreshAfter
 }
 
-// Take takes in what another host tells, and returns what is news.
-func (t *Table) Take(now time.Time, told []fleet.EndpointSignal) []fleet.EndpointSignal {
+// Take merges signals from another host and returns those that changed.
+func (t *Table) Take(now time.Time, signals []fleet.EndpointSignal) []fleet.EndpointSignal {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var news []fleet.EndpointSignal
-	for _, s := range told {
+	var changed []fleet.EndpointSignal
+	for _, s := range signals {
 		if x := t.byEndpoint[s.Endpoint]; x != nil {
 			s = x.Merge(s)
 		}
-		if t.set(now, s) {
-			news = append(news, s)
+		if t.store(now, s) {
+			changed = append(changed, s)
 		}
 	}
-	return news
+	return changed
 }
 
-// set replaces what is known of an endpoint, and tells whether that is news. The lock is held.
-func (t *Table) set(now time.Time, n fleet.EndpointSignal) bool {
-	x := t.byEndpoint[n.Endpoint]
+// store replaces the signals of an endpoint and reports whether they changed. It must be called
+// with t.mu held.
+func (t *Table) store(now time.Time, signal fleet.EndpointSignal) bool {
+	x := t.byEndpoint[signal.Endpoint]
 	switch {
-	case x == nil && n == (fleet.EndpointSignal{Endpoint: n.Endpoint}):
+	case x == nil && signal == (fleet.EndpointSignal{Endpoint: signal.Endpoint}):
 		return false
 	case x == nil:
 		x = &state{}
-		t.byEndpoint[n.Endpoint] = x
-	case x.EndpointSignal == n:
+		t.byEndpoint[signal.Endpoint] = x
+	case x.EndpointSignal == signal:
 		return false
 	default:
-		t.sum ^= mix(x.EndpointSignal)
+		t.checksum ^= hashSignal(x.EndpointSignal)
 	}
 	limited := x.limited(now)
-	if n.Version != x.Version || n.Rate != x.Rate {
-		x.learned = now
+	if signal.Version != x.Version || signal.Rate != x.Rate {
+		x.learnedAt = now
 	}
-	x.EndpointSignal = n
-	if x.part = t.part(x); !limited {
-		x.bucket = newBucket(now, x.part, t.sentLately(now, n.Endpoint))
+	x.EndpointSignal = signal
+	if x.share = t.share(x); !limited {
+		x.bucket = newBucket(now, x.share, t.recentRequests(now, signal.Endpoint))
 	}
-	t.sum ^= mix(n)
+	t.checksum ^= hashSignal(signal)
 	t.version++
 	return true
 }
 
-// sentLately is how many requests this host has sent to an endpoint in the last debtTime. The
-// lock is held.
-func (t *Table) sentLately(now time.Time, id fleet.EndpointID) float64 {
-	if r := t.sent[id]; r != nil {
+// recentRequests returns how many requests this host has sent to the endpoint in the last
+// debtWindow. It must be called with t.mu held.
+func (t *Table) recentRequests(now time.Time, id fleet.EndpointID) float64 {
+	if r := t.requests[id]; r != nil {
 		return r.count(now)
 	}
 	return 0
 }
 
-// mix spreads a signal over all bits.
-func mix(x fleet.EndpointSignal) uint64 {
+// hashSignal returns a hash of the signals for the checksum.
+func hashSignal(x fleet.EndpointSignal) uint64 {
 	const odd = 0x9e3779b97f4a7c15
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, string(x.Endpoint)) // A hash takes all bytes.
-	sum := (h.Sum64() + uint64(x.Version)*odd) ^ math.Float64bits(x.Rate)*odd
+	_, _ = io.WriteString(h, string(x.Endpoint)) // A hash never returns an error.
+	hash := (h.Sum64() + uint64(x.Version)*odd) ^ math.Float64bits(x.Rate)*odd
 	if x.Leaving {
-		sum = ^sum * odd
+		hash = ^hash * odd
 	}
-	return sum
+	return hash
 }
 
-// Next tells whether this host has to wait before it sends to an endpoint, and until when; a
-// zero time is not known.
+// Next reports whether this host has to wait before it sends to the endpoint, and until when; a
+// zero time means that this is unknown.
 func (t *Table) Next(now time.Time, id fleet.EndpointID) (until time.Time, wait bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if x := t.byEndpoint[id]; x.limited(now) {
-		until, wait = x.next(now)
+		until, wait = x.nextAvailable(now)
 	}
 	paused := t.pausedUntil[id]
 	if now.Before(paused) && (!wait || !until.IsZero() && until.Before(paused)) {
@@ -211,31 +212,31 @@
 	return until, wait
 }
 
-// InNeed tells whether an endpoint states a rate or has asked this host for a pause.
+// InNeed reports whether the endpoint advertises a rate or has asked this host for a pause.
 func (t *Table) InNeed(now time.Time, id fleet.EndpointID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.byEndpoint[id].limited(now) || now.Before(t.pausedUntil[id])
 }
 
-// Use counts a request to an endpoint and tells whether it may be sent.
+// Use reports whether a request may be sent to the endpoint now, and counts it if so.
 func (t *Table) Use(now time.Time, id fleet.EndpointID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x := t.byEndpoint[id]
-	if now.Before(t.pausedUntil[id]) || x.limited(now) && !x.use(now) {
+	if now.Before(t.pausedUntil[id]) || x.limited(now) && !x.take(now) {
 		return false
 	}
-	r := t.sent[id]
+	r := t.requests[id]
 	if r == nil {
-		r = &recent{start: now}
-		t.sent[id] = r
+		r = &requestCounter{start: now}
+		t.requests[id] = r
 	}
 	r.add(now)
 	return true
 }
 
-// All returns what is known of all endpoints, also that one states no rate any more.
+// All returns the signals of all endpoints, including those of limits that have ended.
 func (t *Table) All() []fleet.EndpointSignal {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -246,21 +247,22 @@
 	return out
 }
 
-// Sum is the same at hosts that know the same, 0 where nothing is known.
+// Sum returns a checksum of all signals, 0 if there are none. It is equal at hosts that hold the
+// same signals.
 func (t *Table) Sum() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.sum
+	return t.checksum
 }
 
-// Version counts the changes at this host.
+// Version returns the number of changes at this host.
 func (t *Table) Version() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version
 }
 
-// LimitedCount returns how many endpoints state a rate.
+// LimitedCount returns how many endpoints have a limit in force.
 func (t *Table) LimitedCount(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -273,7 +275,7 @@
 	return n
 }
 
-// Leaving returns the endpoints that leave.
+// Leaving returns the endpoints that are shutting down.
 func (t *Table) Leaving() []fleet.EndpointID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -299,18 +301,18 @@
 	return out
 }
 
-// Retain forgets endpoints that are gone.
+// Retain removes all endpoints that are not in live.
 func (t *Table) Retain(live map[fleet.EndpointID]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, x := range t.byEndpoint {
 		if !live[id] {
-			t.sum ^= mix(x.EndpointSignal)
+			t.checksum ^= hashSignal(x.EndpointSignal)
 			delete(t.byEndpoint, id)
 		}
 	}
 	retain(t.pausedUntil, live)
-	retain(t.sent, live)
+	retain(t.requests, live)
 }
 
 func retain[V any](m map[fleet.EndpointID]V, live map[fleet.EndpointID]bool) {
