--- a/pkg/shares/queue.go
+++ b/pkg/shares/queue.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// averageWeight is the part that a new observation has in a moving average, as a divisor.
-	averageWeight = 8
-	// usageMemory is how long an ended use is still reported; it covers a few
-	// lost reports and the take-over of the pool.
-	usageMemory = 10 * time.Second
+	// averageDivisor is the divisor of the weight of a new observation in a moving average.
+	averageDivisor = 8
+	// usageRetention is how long usage is reported after its last request has ended. It covers a
+	// few lost reports and a change of the pool's controller.
+	usageRetention = 10 * time.Second
 )
 
-// queue is the shard of one model of one pool: its waiting and running
-// requests on this host, under its own lock.
+// queue holds the waiting and running requests of one model of one pool on this host.
 type queue struct {
-	all   *Queues
-	pool  string
-	model string
-	kind  contract.Kind
+	queues *Queues
+	pool   string
+	model  string
+	kind   contract.Kind
 
 	mu       sync.Mutex
 	waiting  admission.Queue
 	inflight map[string]int
-	// others are the requests of other hosts, by the engines' reports.
-	others   map[string]loadReport
-	use      map[string]*customerUse
-	limits   contract.Model
-	service  time.Duration
-	loadTime time.Duration
-	// loadSeen is when this host first saw a load under way, zero without one.
-	loadSeen time.Time
+	// otherLoad holds the load that other hosts put on each replica, as reported by the engines.
+	otherLoad   map[string]loadReport
+	customers   map[string]*customerUse
+	limits      contract.Model
+	serviceTime time.Duration
+	loadTime    time.Duration
+	// loadStartedAt is when this host first observed the current load of the model, zero without
+	// one.
+	loadStartedAt time.Time
 }
 
 // customerUse is one customer's use of the model on this host.
@@ -48,13 +48,13 @@
 	waiting  int
 	inflight int
 	lastEnd  time.Time
-	// turns counts the places that the customer was given. The next place goes
-	// to the customer with fewest; one that comes back starts level with others.
-	turns int
-	// wantedUntil is until when a caller was told to come back for a model that
-	// is not loaded. It counts as demand, or a model whose load takes longer
-	// than callers wait would be refused for ever and never loaded.
-	wantedUntil time.Time
+	// grants counts the slots that the customer was given. The next slot goes to the customer with
+	// the fewest.
+	grants int
+	// demandUntil is the end of the retry delay of a request that was refused because the model is
+	// not loaded. Until then it counts as demand. Otherwise a model that takes longer to load than
+	// callers wait would never be loaded.
+	demandUntil time.Time
 }
 
 // loadReport is the number of other hosts' requests at a replica.
@@ -63,62 +63,62 @@
 	at      time.Time
 }
 
-func newQueue(all *Queues, m contract.Model) *queue {
+func newQueue(queues *Queues, m contract.Model) *queue {
 	return &queue{
-		all:      all,
-		pool:     m.Pool,
-		model:    m.Name,
-		kind:     m.Kind,
-		inflight: map[string]int{},
-		others:   map[string]loadReport{},
-		use:      map[string]*customerUse{},
-		limits:   m,
+		queues:    queues,
+		pool:      m.Pool,
+		model:     m.Name,
+		kind:      m.Kind,
+		inflight:  map[string]int{},
+		otherLoad: map[string]loadReport{},
+		customers: map[string]*customerUse{},
+		limits:    m,
 	}
 }
 
-// noteLoad takes in the report of an engine on one replica.
-func (q *queue) noteLoad(now time.Time, replica string, running int) {
+// recordLoad records an engine's load report for one replica.
+func (q *queue) recordLoad(now time.Time, replica string, running int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.others[replica] = loadReport{running: max(0, running-q.inflight[replica]), at: now}
-	for id, r := range q.others {
-		if now.Sub(r.at) > usageMemory {
-			delete(q.others, id)
+	q.otherLoad[replica] = loadReport{running: max(0, running-q.inflight[replica]), at: now}
+	for id, r := range q.otherLoad {
+		if now.Sub(r.at) > usageRetention {
+			delete(q.otherLoad, id)
 		}
 	}
 }
 
-// acquire waits for a place at a replica until the deadline. A request that
-// cannot be served in time is refused at once, with when to come back. Neither a
-// target nor a refusal means that the replica was retired meanwhile.
+// acquire blocks until there is a slot at a replica or the deadline has passed. A request that
+// cannot be served in time is refused at once, with a retry delay. If both results are nil, the
+// replica was retired meanwhile.
 func (q *queue) acquire(ctx context.Context, t Terms, deadline time.Time) (*state.Target, *serve.Refusal) {
-	now := q.all.cfg.Now()
+	now := q.queues.cfg.Now()
 	q.mu.Lock()
 	q.limits = t.Model
 	if q.waiting.Len() == 0 {
-		if target := q.take(now, t.Customer); target != nil {
+		if target := q.reserve(now, t.Customer); target != nil {
 			q.mu.Unlock()
 			return target, nil
 		}
 	}
 	reason, retryAfter := admission.Admit(q.situation(now, t.Customer, q.waiting.Ahead(t.Customer, deadline)), deadline.Sub(now), t.Rank)
 	if reason != admission.ReasonNone {
-		q.wantLater(now, t.Customer, reason, retryAfter)
+		q.recordDemand(now, t.Customer, reason, retryAfter)
 		q.mu.Unlock()
-		q.all.cfg.Wanted()
+		q.queues.cfg.Wanted()
 		return nil, q.refuse(reason, retryAfter)
 	}
 	w := admission.NewWaiter(t.Customer, deadline)
-	q.startLevel(t.Customer)
+	q.levelGrants(t.Customer)
 	q.waiting.Push(w)
 	q.useOf(t.Customer).waiting++
 	q.mu.Unlock()
-	q.all.cfg.Wanted()
+	q.queues.cfg.Wanted()
 	return q.await(ctx, w)
 }
 
 func (q *queue) await(ctx context.Context, w *admission.Waiter) (*state.Target, *serve.Refusal) {
-	timer := time.NewTimer(w.Deadline.Sub(q.all.cfg.Now()))
+	timer := time.NewTimer(w.Deadline.Sub(q.queues.cfg.Now()))
 	defer timer.Stop()
 	refusal := refuse(string(admission.ReasonDeadline), 0)
 	select {
@@ -137,7 +137,7 @@
 	if removed {
 		return nil, refusal
 	}
-	// The answer was given at the same moment.
+	// The request was answered concurrently.
 	return q.finish(w, <-w.Answer)
 }
 
@@ -151,16 +151,16 @@
 		}
 	}
 	// The replica was retired between grant and use.
-	q.giveBack(w.Customer, a.Replica)
+	q.returnSlot(w.Customer, a.Replica)
 	return nil, nil
 }
 
 func (q *queue) targets() []state.Target {
-	return q.all.cfg.Replicas.Targets(q.kind, q.pool, q.model)
+	return q.queues.cfg.Replicas.Targets(q.kind, q.pool, q.model)
 }
 
 func (q *queue) refuse(reason admission.Reason, retryAfter time.Duration) *serve.Refusal {
-	q.all.cfg.Refused(q.model, string(reason))
+	q.queues.cfg.Refused(q.model, string(reason))
 	return refuse(string(reason), retryAfter)
 }
 
@@ -168,7 +168,7 @@
 	return &serve.Refusal{Cause: serve.Cause(reason), NotRun: true, RetryAfter: retryAfter}
 }
 
-// active tells whether requests wait or run.
+// active reports whether requests are waiting or running.
 func (q *queue) active() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -176,36 +176,37 @@
 }
 
 func (q *queue) useOf(customer string) *customerUse {
-	u := q.use[customer]
+	u := q.customers[customer]
 	if u == nil {
 		u = &customerUse{}
-		q.use[customer] = u
+		q.customers[customer] = u
 	}
 	return u
 }
 
-// take reserves a place at a replica with room, or returns nil.
-func (q *queue) take(now time.Time, customer string) *state.Target {
+// reserve reserves a slot at a replica, or returns nil if none is free. It must be called with q.mu
+// held.
+func (q *queue) reserve(now time.Time, customer string) *state.Target {
 	targets, candidates := q.candidates(now)
-	i := routing.Pick(candidates, routing.Choice{Zone: q.all.cfg.Zone, Service: q.service}, rand.IntN)
-	if i < 0 || !q.all.cfg.Health.Signals.Use(now, endpointID(targets[i])) {
+	i := routing.Pick(candidates, routing.Choice{Zone: q.queues.cfg.Zone, Service: q.serviceTime}, rand.IntN)
+	if i < 0 || !q.queues.cfg.Health.Signals.Use(now, endpointID(targets[i])) {
 		return nil
 	}
 	q.inflight[string(targets[i].Replica)]++
 	u := q.useOf(customer)
 	u.inflight++
-	u.turns++
+	u.grants++
 	return &targets[i]
 }
 
-// candidates returns the replicas that may be asked now, and how routing sees them.
+// candidates returns the replicas that may receive requests now, and the routing candidate of each.
 func (q *queue) candidates(now time.Time) ([]state.Target, []routing.Candidate) {
 	need := q.need()
 	var targets []state.Target
 	var candidates []routing.Candidate
 	for _, t := range q.targets() {
 		id := string(t.Replica)
-		c := q.all.cfg.Health.Condition(now, endpointID(t), need.Service, need.What())
+		c := q.queues.cfg.Health.Condition(now, endpointID(t), need.Service, need.What())
 		if c.Closed || c.Limited {
 			continue
 		}
@@ -216,14 +217,14 @@
 			Own:     q.inflight[id],
 			Limit:   q.limits.Concurrency,
 			Suspect: c.Suspect,
-			Others:  q.others[id].running,
-			Age:     now.Sub(q.others[id].at),
+			Others:  q.otherLoad[id].running,
+			Age:     now.Sub(q.otherLoad[id].at),
 		})
 	}
 	return targets, candidates
 }
 
-// need is what the requests of the queue need of an endpoint.
+// need returns what the requests of the queue require of an endpoint.
 func (q *queue) need() serve.Need {
 	if q.kind == contract.Service {
 		return serve.Need{Service: q.model}
@@ -231,32 +232,32 @@
 	return serve.Need{Service: q.pool, Model: q.model}
 }
 
-// startLevel lifts the turns of a customer that was idle to those of the others
-// in use; otherwise it could take all places for as long as it was away.
-func (q *queue) startLevel(customer string) {
+// levelGrants raises the grants of an idle customer to the least of the active ones. Otherwise it
+// could take all slots until it has caught up.
+func (q *queue) levelGrants(customer string) {
 	u := q.useOf(customer)
 	if u.waiting > 0 || u.inflight > 0 {
 		return
 	}
 	least := -1
-	for other, o := range q.use {
-		if other != customer && (o.waiting > 0 || o.inflight > 0) && (least < 0 || o.turns < least) {
-			least = o.turns
+	for other, o := range q.customers {
+		if other != customer && (o.waiting > 0 || o.inflight > 0) && (least < 0 || o.grants < least) {
+			least = o.grants
 		}
 	}
-	u.turns = max(u.turns, least)
+	u.grants = max(u.grants, least)
 }
 
-// grant gives free places to waiting requests, by customer's share and deadline.
+// grant gives free slots to waiting requests, by customer's share and deadline.
 func (q *queue) grant(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for {
-		w := q.waiting.Next(func(customer string) int { return q.useOf(customer).turns })
+		w := q.waiting.Next(func(customer string) int { return q.useOf(customer).grants })
 		if w == nil {
 			return
 		}
-		target := q.take(now, w.Customer)
+		target := q.reserve(now, w.Customer)
 		if target == nil {
 			return
 		}
@@ -266,51 +267,51 @@
 	}
 }
 
-// reconsider refuses those waiting requests that have become hopeless. It
-// looks at all of them, so it runs regularly and not with each request.
-func (q *queue) reconsider(now time.Time) {
+// refuseLate refuses waiting requests that cannot be served in time any more. It scans all of
+// them, so it runs periodically and not with each request.
+func (q *queue) refuseLate(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.watchLoad(now)
+	q.trackLoad(now)
 	for customer, list := range q.waiting.InOrder() {
 		for rank, w := range list {
 			reason, retryAfter := admission.Keep(q.situation(now, customer, rank), w.Deadline.Sub(now))
 			if reason != admission.ReasonNone {
-				q.giveUp(now, w, reason, retryAfter)
+				q.refuseWaiting(now, w, reason, retryAfter)
 			}
 		}
 	}
 }
 
-// giveUp answers a waiting request that cannot be served in time.
-func (q *queue) giveUp(now time.Time, w *admission.Waiter, reason admission.Reason, retryAfter time.Duration) {
+// refuseWaiting refuses a waiting request.
+func (q *queue) refuseWaiting(now time.Time, w *admission.Waiter, reason admission.Reason, retryAfter time.Duration) {
 	q.waiting.Remove(w)
 	q.useOf(w.Customer).waiting--
-	q.wantLater(now, w.Customer, reason, retryAfter)
+	q.recordDemand(now, w.Customer, reason, retryAfter)
 	w.Answer <- admission.Answer{Reason: reason, RetryAfter: retryAfter}
 }
 
-func (q *queue) wantLater(now time.Time, customer string, reason admission.Reason, retryAfter time.Duration) {
+func (q *queue) recordDemand(now time.Time, customer string, reason admission.Reason, retryAfter time.Duration) {
 	if reason == admission.ReasonLoad {
-		q.useOf(customer).wantedUntil = now.Add(max(retryAfter, minWanted))
+		q.useOf(customer).demandUntil = now.Add(max(retryAfter, minDemandTime))
 	}
 }
 
-// minWanted is the least time for which a refused call counts as demand: the
-// least that its caller can be told to wait.
-const minWanted = time.Second
+// minDemandTime is the least time for which a refused request counts as demand. It is the shortest
+// retry delay.
+const minDemandTime = time.Second
 
-// watchLoad measures how long loads take, as this host sees them.
-func (q *queue) watchLoad(now time.Time) {
-	loading := q.all.cfg.Replicas.Loading(q.pool, q.model)
+// trackLoad measures how long loads of the model take, as observed by this host.
+func (q *queue) trackLoad(now time.Time) {
+	loading := q.queues.cfg.Replicas.Loading(q.pool, q.model)
 	switch {
-	case loading && q.loadSeen.IsZero():
-		q.loadSeen = now
-	case !loading && !q.loadSeen.IsZero():
+	case loading && q.loadStartedAt.IsZero():
+		q.loadStartedAt = now
+	case !loading && !q.loadStartedAt.IsZero():
 		if len(q.targets()) > 0 {
-			q.loadTime = average(q.loadTime, now.Sub(q.loadSeen))
+			q.loadTime = average(q.loadTime, now.Sub(q.loadStartedAt))
 		}
-		q.loadSeen = time.Time{}
+		q.loadStartedAt = time.Time{}
 	}
 }
 
@@ -318,34 +319,33 @@
 	if old == 0 {
 		return observed
 	}
-	return old + (observed-old)/averageWeight
+	return old + (observed-old)/averageDivisor
 }
 
-// situation is what an estimate for a customer's request with that many of its
-// own ahead depends on.
+// situation returns the input for estimating whether a customer's request can be served in time,
+// with the number of its own requests ahead of it.
 func (q *queue) situation(now time.Time, customer string, ahead int) admission.Situation {
 	s := admission.Situation{
 		Slots:    q.share(customer, len(q.targets())*q.limits.Concurrency),
 		Ahead:    ahead + q.useOf(customer).inflight,
-		Service:  q.service,
+		Service:  q.serviceTime,
 		LoadTime: q.loadTime,
-		CanLoad:  q.kind != contract.Service && q.all.cfg.Replicas.CanLoad(q.pool),
+		CanLoad:  q.kind != contract.Service && q.queues.cfg.Replicas.CanLoad(q.pool),
 	}
 	if s.LoadTime == 0 {
 		s.LoadTime = q.limits.LoadEstimate
 	}
-	if !q.loadSeen.IsZero() {
+	if !q.loadStartedAt.IsZero() {
 		s.Loading = true
-		s.LoadElapsed = now.Sub(q.loadSeen)
+		s.LoadElapsed = now.Sub(q.loadStartedAt)
 	}
 	return s
 }
 
-// share is the part of the places that a customer gets while others use the
-// model too.
+// share returns the customer's fair share of the slots among the customers that use the model.
 func (q *queue) share(customer string, slots int) int {
 	users := 1
-	for other, u := range q.use {
+	for other, u := range q.customers {
 		if other != customer && (u.inflight > 0 || q.waiting.Waits(other)) {
 			users++
 		}
@@ -353,18 +353,18 @@
 	return (slots + users - 1) / users
 }
 
-// release gives a place back. took is how long a successful run took, or zero.
+// release returns a slot. took is the duration of a successful run, or zero.
 func (q *queue) release(customer, replica string, took time.Duration) {
 	if took > 0 {
 		q.mu.Lock()
-		q.service = average(q.service, took)
+		q.serviceTime = average(q.serviceTime, took)
 		q.mu.Unlock()
 	}
-	q.giveBack(customer, replica)
-	q.grant(q.all.cfg.Now())
+	q.returnSlot(customer, replica)
+	q.grant(q.queues.cfg.Now())
 }
 
-func (q *queue) giveBack(customer, replica string) {
+func (q *queue) returnSlot(customer, replica string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.inflight[replica]--
@@ -373,22 +373,22 @@
 	}
 	u := q.useOf(customer)
 	u.inflight--
-	u.lastEnd = q.all.cfg.Now()
+	u.lastEnd = q.queues.cfg.Now()
 }
 
-// usage reports the use by each customer since the model was last used.
+// usage returns each customer's use of the model, and drops customers that have not used it lately.
 func (q *queue) usage(now time.Time) []pool.Usage {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var list []pool.Usage
-	cold := len(q.targets()) == 0
-	for customer, u := range q.use {
+	unloaded := len(q.targets()) == 0
+	for customer, u := range q.customers {
 		waiting, remaining := u.waiting, q.waiting.Earliest().Sub(now)
-		if waiting == 0 && cold && now.Before(u.wantedUntil) {
-			waiting, remaining = 1, u.wantedUntil.Sub(now)
+		if waiting == 0 && unloaded && now.Before(u.demandUntil) {
+			waiting, remaining = 1, u.demandUntil.Sub(now)
 		}
-		if waiting == 0 && u.inflight == 0 && now.Sub(u.lastEnd) > usageMemory {
-			delete(q.use, customer)
+		if waiting == 0 && u.inflight == 0 && now.Sub(u.lastEnd) > usageRetention {
+			delete(q.customers, customer)
 			continue
 		}
 		list = append(list, pool.Usage{
--- a/pkg/shares/shares.go
+++ b/pkg/shares/shares.go
@@ -1,6 +1,6 @@
-// Package shares is the queue of requests whose customers share the places of a
-// model: each gets its turn, earliest deadline first within a customer, and what
-// cannot be served in time is refused at once. It implements serve.Queue.
+// Package shares implements serve.Queue with fair sharing of a model's slots between customers. The
+// next slot goes to the customer that was given the fewest, and within a customer to the request
+// with the earliest deadline. Requests that cannot be served in time are refused at once.
 package shares
 
 import (
@@ -16,34 +16,34 @@
 )
 
 const (
-	// maxRetired bounds how often the replica of a place may be retired before it
-	// is used; by then the request is refused.
+	// maxRetired bounds how often an acquired replica may be retired before it is used. After that,
+	// the request is refused.
 	maxRetired = 4
-	// resumeGrace is added to the time of a load for a stream that looks for
-	// another replica: a part of its answer was passed on in time.
+	// resumeGrace is added to the load time of the model in the deadline of a stream that resumes
+	// at another replica.
 	resumeGrace = time.Second
 )
 
-// Replicas tells what is known of the pools.
+// Replicas provides the state of the pools.
 type Replicas interface {
-	// Targets returns the replicas of a model, or the endpoints of a service, that
-	// may get new work.
+	// Targets returns the replicas of a model, or the endpoints of a service, that accept new
+	// requests.
 	Targets(kind contract.Kind, pool, model string) []state.Target
-	// Loading tells whether a load of the model is under way.
+	// Loading reports whether the model is being loaded.
 	Loading(pool, model string) bool
-	// CanLoad tells whether somebody could decide a load now.
+	// CanLoad reports whether the pool has a controller that can decide to load a model now.
 	CanLoad(pool string) bool
 }
 
-// Terms are what a contract says of a request.
+// Terms holds what a contract specifies for a request.
 type Terms struct {
 	Customer string
 	Model    contract.Model
-	// Rank says which requests are refused first when queues grow.
+	// Rank determines which requests are refused first when queues grow.
 	Rank int
 }
 
-// Config is what the queues of a host need.
+// Config holds the dependencies of Queues.
 type Config struct {
 	Zone     string
 	Replicas Replicas
@@ -51,19 +51,19 @@
 	Now      func() time.Time
 	// Terms returns the terms of a request.
 	Terms func(*serve.Request) Terms
-	// Wanted is called without a lock when requests wait or were refused.
+	// Wanted is called without a lock when a request waits or was refused.
 	Wanted func()
-	// Refused counts a refusal.
+	// Refused is called for each refusal.
 	Refused func(model, reason string)
 }
 
-// Queues are the queues of all models on a host. It is safe for concurrent use:
-// the state is in shards by model, each under its own lock.
+// Queues holds the queues of all models on a host. It is safe for concurrent use; each queue has
+// its own lock.
 type Queues struct {
 	cfg Config
 
 	mu     sync.RWMutex
-	shards map[key]*queue
+	queues map[key]*queue
 }
 
 type key struct {
@@ -71,23 +71,23 @@
 	pool, model string
 }
 
-// NewQueues returns queues without any requests.
-func NewQueues(cfg Config) *Queues { return &Queues{cfg: cfg, shards: map[key]*queue{}} }
+// NewQueues returns a Queues without requests.
+func NewQueues(cfg Config) *Queues { return &Queues{cfg: cfg, queues: map[key]*queue{}} }
 
-// queue returns the shard of a model.
+// queue returns the queue of a model, which it creates if there is none.
 func (s *Queues) queue(m contract.Model) *queue {
 	k := key{m.Kind, m.Pool, m.Name}
 	s.mu.RLock()
-	q := s.shards[k]
+	q := s.queues[k]
 	s.mu.RUnlock()
 	if q != nil {
 		return q
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if q = s.shards[k]; q == nil {
+	if q = s.queues[k]; q == nil {
 		q = newQueue(s, m)
-		s.shards[k] = q
+		s.queues[k] = q
 	}
 	return q
 }
@@ -95,14 +95,15 @@
 func (s *Queues) all() []*queue {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	all := make([]*queue, 0, len(s.shards))
-	for _, q := range s.shards {
+	all := make([]*queue, 0, len(s.queues))
+	for _, q := range s.queues {
 		all = append(all, q)
 	}
 	return all
 }
 
-// Arrive implements serve.Queue; usage is reported from what waits and runs.
+// Arrive implements serve.Queue. It does nothing, since usage is derived from waiting and running
+// requests.
 func (s *Queues) Arrive(*serve.Request) {}
 
 // Acquire implements serve.Queue.
@@ -124,8 +125,8 @@
 	return fleet.Endpoint{}, refuse(string(serve.CauseNoRoom), 0)
 }
 
-// endpointID names a replica where the serving path names an endpoint: an engine
-// may hold two replicas, and only one of them may fail.
+// endpointID returns the endpoint ID of a replica. It names the replica and not the engine, since
+// an engine may hold two replicas and only one of them may fail.
 func endpointID(t state.Target) fleet.EndpointID { return fleet.EndpointID(t.Replica) }
 
 // Release implements serve.Queue.
@@ -137,39 +138,39 @@
 	s.queue(terms.Model).release(terms.Customer, string(e), u.Took)
 }
 
-// HasOther implements serve.Queue. No request is taken from a silent replica:
-// contracts state no latency by which one could be told from a slow one.
+// HasOther implements serve.Queue. It always returns false: without a latency limit in contracts,
+// an unresponsive replica cannot be distinguished from a slow one.
 func (s *Queues) HasOther(*serve.Request, fleet.EndpointID) bool { return false }
 
-// ServiceTime implements serve.Queue; it is asked only where HasOther may be true.
+// ServiceTime implements serve.Queue. It is not used, since HasOther returns false.
 func (s *Queues) ServiceTime(string) time.Duration { return 0 }
 
-// Began implements serve.Queue. Shares follow from places, not from how soon answers
-// begin.
+// Began implements serve.Queue. It does nothing, since shares depend on slots only.
 func (s *Queues) Began(*serve.Request, time.Duration) {}
 
-// Step gives free places to waiting requests and refuses what has become hopeless.
+// Step grants free slots to waiting requests and refuses those that cannot be served in time any
+// more.
 func (s *Queues) Step(now time.Time) {
 	for _, q := range s.all() {
 		q.grant(now)
-		q.reconsider(now)
+		q.refuseLate(now)
 	}
 }
 
-// NoteLoad takes in the report of an engine on one of its replicas.
+// NoteLoad records an engine's load report for one of its replicas.
 func (s *Queues) NoteLoad(now time.Time, pool, model, replica string, running int) {
 	s.mu.RLock()
-	q := s.shards[key{contract.Base, pool, model}]
+	q := s.queues[key{contract.Base, pool, model}]
 	if q == nil {
-		q = s.shards[key{contract.Adapter, pool, model}]
+		q = s.queues[key{contract.Adapter, pool, model}]
 	}
 	s.mu.RUnlock()
 	if q != nil {
-		q.noteLoad(now, replica, running)
+		q.recordLoad(now, replica, running)
 	}
 }
 
-// Usage returns by pool how this host uses the models.
+// Usage returns this host's use of models by pool.
 func (s *Queues) Usage(now time.Time) map[string][]pool.Usage {
 	byPool := map[string][]pool.Usage{}
 	for _, q := range s.all() {
@@ -180,7 +181,7 @@
 	return byPool
 }
 
-// Active returns the replicas of all models whose requests wait or run now.
+// Active returns the replicas of all models with waiting or running requests.
 func (s *Queues) Active() []state.Target {
 	var targets []state.Target
 	for _, q := range s.all() {
