--- a/pkg/relay/question.go
+++ b/pkg/relay/question.go
@@ -3,34 +3,35 @@
 import "time"
 
 const (
-	// MaxHold is how long a question waits for something to change. It is the longest
-	// pause between two signs of life of the controller at each hop.
+	// MaxHold is how long a question is held while nothing changes. It is the longest interval
+	// between two answers at each hop, which also serve as heartbeats of the controller.
 	MaxHold = 250 * time.Millisecond
-	// answersPerCore is how many answers about changes that nobody waits for a host gives
-	// in a second for each of its cores: at a third of a millisecond each, a quarter of it.
+	// answersPerCore is the number of non-urgent answers per second that a host gives for each of
+	// its cores.
 	answersPerCore = 800
-	// minSpacing is the least time between two of them to one host.
+	// minSpacing is the least interval between two non-urgent answers to one host.
 	minSpacing = 8 * time.Millisecond
 )
 
-// Spacing is the least time between two answers to one host about changes for which no
-// request of it waits, where some hosts are answered by a host with some cores.
+// Spacing returns the least interval between two non-urgent answers to one host, for a relay with
+// the given numbers of children and cores. An answer is urgent if a request waits for the change.
 func Spacing(children int, cores float64) time.Duration {
 	if cores <= 0 {
-		cores = leastCores
+		cores = defaultCores
 	}
 	d := time.Duration(float64(children) / (answersPerCore * cores) * float64(time.Second))
 	return min(MaxHold, max(minSpacing, d))
 }
 
-// Question is a host's question as far as its pace goes.
+// Question is the timing of a host's long poll.
 type Question struct {
-	// Asked is when it came, Answered when the one before was answered.
+	// Asked is when the question was received, Answered when the previous one was answered.
 	Asked    time.Time
 	Answered time.Time
 }
 
-// Answer tells when a question is to be answered, given what has changed for it.
+// Answer returns when to answer the question: at once if a change is urgent, spaced from the
+// previous answer if there is another change, else after MaxHold.
 func (q Question) Answer(changed, urgent bool, spacing time.Duration) time.Time {
 	latest := q.Asked.Add(MaxHold)
 	switch {
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, 200, 60) }
 
-// deployment draws hosts of different strength in some zones.
+// deployment draws hosts with different numbers of cores in several zones.
 func deployment(t *rapid.T) []relay.Member {
 	n := rapid.IntRange(1, 300).Draw(t, "hosts")
 	zones := rapid.IntRange(1, 5).Draw(t, "zones")
@@ -28,36 +28,35 @@
 	return out
 }
 
-// Each host asks another, and all of them may lose their relays one after the other. Two
-// that asked each other would never hear of the controller again, and one that is asked by
-// all hosts would be too slow for any.
-func TestQuestionsEndAtTheController(t *testing.T) {
+// Each host asks a relay or a fallback. Every chain of upstreams must end at the controller,
+// without cycles and without overloading a relay.
+func TestUpstreamsEndAtController(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := deployment(t)
 		controller := hosts[rapid.IntRange(0, len(hosts)-1).Draw(t, "controller")]
-		ask := map[string][]relay.Member{}
+		upstreams := map[string][]relay.Member{}
 		load := map[string]int{}
 		for _, h := range hosts {
 			if h.Name == controller.Name {
 				continue
 			}
 			list := relay.Upstreams(h, controller, hosts)
-			ask[h.Name] = list
+			upstreams[h.Name] = list
 			load[list[0].Name]++
 			if list[len(list)-1].Name != controller.Name {
-				t.Fatalf("%s does not ask the controller in the end", h.Name)
+				t.Fatalf("the last upstream of %s is not the controller", h.Name)
 			}
 			for _, u := range list[:len(list)-1] {
 				if u.Name == h.Name || u.Zone != h.Zone {
-					t.Fatalf("%s asks %+v", h.Name, u)
+					t.Fatalf("%s has the upstream %+v, want another host of its zone", h.Name, u)
 				}
 			}
 		}
 		choice := rapid.IntRange(0, 3).Draw(t, "choice")
-		for name := range ask {
+		for name := range upstreams {
 			hops := 0
 			for at := name; at != controller.Name; hops++ {
-				list := ask[at]
+				list := upstreams[at]
 				at = list[min(choice, len(list)-1)].Name
 				if hops > 4 {
 					t.Fatalf("%s is %d hops away from the controller", name, hops)
@@ -65,16 +64,16 @@
 			}
 		}
 		for _, h := range hosts {
-			// Hosts choose among relays by a hash, so that some get more than their part.
-			if most := 2*relay.Children(h.Cores) + 8; h.Name != controller.Name && load[h.Name] > most {
-				t.Fatalf("%d hosts ask %+v", load[h.Name], h)
+			// The choice by hash is uneven, so some relays get more than their share.
+			if limit := 2*relay.Children(h.Cores) + 8; h.Name != controller.Name && load[h.Name] > limit {
+				t.Fatalf("%d hosts ask %+v, want at most %d", load[h.Name], h, limit)
 			}
 		}
 	})
 }
 
-// A few hosts ask the controller themselves: a relay would only be one hop more.
-func TestFewHostsNeedNoRelay(t *testing.T) {
+// With few hosts, all ask the controller directly.
+func TestFewHostsAskControllerDirectly(t *testing.T) {
 	is := is.New(t)
 	var hosts []relay.Member
 	for i := range 9 {
@@ -85,14 +84,13 @@
 	}
 }
 
-// Hosts tell relays of their requests, reports come late, doubled and out of order, and
-// hosts go over to another relay. Arrivals that were counted twice would load replicas that
-// nobody needs, and a report that came late would bring back requests that were served.
-func TestSumsCountNothingTwice(t *testing.T) {
+// Reports arrive late, more than once and out of order, and hosts move to another relay. Each
+// arrival must be counted once, and late reports must not restore waiting requests.
+func TestSumsCountArrivalsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		relays := []*relay.Sums{relay.NewSums(), relay.NewSums()}
-		told, got := 0, 0
+		reported, counted := 0, 0
 		var seq [3]int64
 		var sent [2][]fleet.DemandReport
 		var sentAt [2]time.Time
@@ -100,11 +98,11 @@
 			now = now.Add(time.Duration(rapid.IntRange(1, 200).Draw(t, "ms")) * time.Millisecond)
 			at := rapid.IntRange(0, 1).Draw(t, "relay")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
-			case 0: // a new report goes to one relay
+			case 0: // send a new report to one relay
 				host := rapid.IntRange(0, 2).Draw(t, "host")
 				seq[host]++
 				n := rapid.IntRange(0, 3).Draw(t, "arrived")
-				told += n
+				reported += n
 				r := fleet.DemandReport{
 					Host:  fmt.Sprint(host),
 					Seq:   seq[host],
@@ -113,26 +111,26 @@
 				sent[at] = append(sent[at], r)
 				sentAt[at] = now
 				relays[at].Take(now, r, fleet.Heard{})
-			case 1: // a copy of one comes again; messages are given up after half a second
+			case 1: // deliver a duplicate of the last report while it may still arrive
 				if len(sent[at]) > 0 && now.Sub(sentAt[at]) < time.Second {
 					relays[at].Take(now, sent[at][len(sent[at])-1], fleet.Heard{})
 				}
 			case 2:
-				got += arrivals(relays[at].Sum(now, fleet.DemandReport{}))
+				counted += arrivals(relays[at].Sum(now, fleet.DemandReport{}))
 			case 3:
 				now = now.Add(time.Second)
 				sum := relays[at].Sum(now, fleet.DemandReport{})
-				got += arrivals(sum)
+				counted += arrivals(sum)
 				if n := waiting(sum); n != 0 {
-					t.Fatalf("%d requests wait at hosts that have not reported for a second", n)
+					t.Fatalf("sum has %d waiting requests of hosts without a report within a second", n)
 				}
 			}
 		}
 		for _, s := range relays {
-			got += arrivals(s.Sum(now, fleet.DemandReport{}))
+			counted += arrivals(s.Sum(now, fleet.DemandReport{}))
 		}
-		if got != told {
-			t.Fatalf("%d arrivals were told, %d counted", told, got)
+		if counted != reported {
+			t.Fatalf("%d arrivals reported, %d counted", reported, counted)
 		}
 	})
 }
@@ -153,8 +151,8 @@
 	return n
 }
 
-// A zone's relay adds up what waits for one model at two hosts. The first that is due
-// decides when it is loaded, and requests that can still be in time go before late ones.
+// A relay adds up the demand of two hosts for a model. The due time of requests that can be served
+// in time takes precedence over that of late ones.
 func TestSumOfTwoHosts(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -171,15 +169,14 @@
 	is.Equal(sum.Unreachable, []fleet.EndpointID{"e"})
 	is.Equal(sum.Pausing, []fleet.EndpointID{"f"})
 	is.Equal(len(s.Heard(at)), 2)
-	is.Equal(arrivals(s.Sum(at, fleet.DemandReport{})), 0) // told once
-	is.Equal(waiting(s.Sum(at, fleet.DemandReport{})), 3)  // still so
+	is.Equal(arrivals(s.Sum(at, fleet.DemandReport{})), 0) // arrivals are passed on once
+	is.Equal(waiting(s.Sum(at, fleet.DemandReport{})), 3)  // waiting requests still count
 	is.True(!s.Take(at, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(9, 9, 0)}, fleet.Heard{}))
 }
 
-// Changes that no request waits for come in a row. A relay that told each of them to each
-// host had no time left for its own requests; one that waited with all of them let
-// requests wait for models that were there.
-func TestPaceOfAnswers(t *testing.T) {
+// Urgent changes are answered at once, other changes are spaced by the load of the relay, and
+// unchanged state is answered after MaxHold.
+func TestAnswerSpacing(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	q := relay.Question{Asked: at(100), Answered: at(90)}
 	for _, c := range []struct {
--- a/pkg/relay/sums.go
+++ b/pkg/relay/sums.go
@@ -10,47 +10,47 @@
 )
 
 const (
-	// childLife is how long a host's last report counts: three times the longest pause
-	// between two.
+	// childLife is how long a host's last report counts, three times the longest interval between
+	// two reports.
 	childLife = 800 * time.Millisecond
-	// seqLife is how long the number of that report is kept. A copy that comes after
-	// it would be counted again; questions are given up after half a second.
+	// seqLife is how long the sequence number of that report is kept to reject duplicates. It
+	// exceeds the time in which a duplicate may arrive.
 	seqLife = 10 * time.Second
 )
 
-// need names what a report is about.
-type need struct{ service, model, adapter string }
+// needKey identifies what a report is about.
+type needKey struct{ service, model, adapter string }
 
-func needOf(n fleet.NeedReport) need { return need{n.Service, n.Model, n.Adapter} }
+func needKeyOf(n fleet.NeedReport) needKey { return needKey{n.Service, n.Model, n.Adapter} }
 
-// Sums adds up what the hosts behind a relay report. Arrivals are counted when they are
-// told and passed on once. What waits and runs is that of each host's newest report: a
-// report that comes late or twice changes nothing, and that of a host which went
-// over to another relay ends after childLife. It is safe for concurrent use.
+// Sums aggregates the demand reports of the hosts behind a relay. Arrivals are counted as they are
+// reported and passed on once. Numbers of waiting and running requests are those of each host's
+// newest report; late and duplicate reports are ignored, and the last report to a relay that a host
+// has left expires after childLife. It is safe for concurrent use.
 type Sums struct {
 	mu       sync.Mutex
 	children map[string]*child
-	// arrived and starting are what was told since the last sum.
-	arrived map[need]fleet.NeedReport
+	// arrivals holds the arrivals and starts reported since the last sum.
+	arrivals map[needKey]fleet.NeedReport
 }
 
 type child struct {
 	incarnation string
 	seq         int64
-	// at is when the needs came, seen when the host last said that they hold.
-	at, seen    time.Time
-	needs       []fleet.NeedReport
-	unreachable []fleet.EndpointID
-	pausing     []fleet.EndpointID
-	heard       []fleet.Heard
+	// reportedAt is when the needs were reported, confirmedAt when the host last confirmed them.
+	reportedAt, confirmedAt time.Time
+	needs                   []fleet.NeedReport
+	unreachable             []fleet.EndpointID
+	pausing                 []fleet.EndpointID
+	heard                   []fleet.Heard
 }
 
-// NewSums returns sums of no host.
+// NewSums returns empty sums.
 func NewSums() *Sums {
-	return &Sums{children: map[string]*child{}, arrived: map[need]fleet.NeedReport{}}
+	return &Sums{children: map[string]*child{}, arrivals: map[needKey]fleet.NeedReport{}}
 }
 
-// Take takes in a host's report and tells whether it is newer than what was known.
+// Take applies a host's report and reports whether it is newer than the last one.
 func (s *Sums) Take(now time.Time, r fleet.DemandReport, h fleet.Heard) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,22 +59,22 @@
 		return false
 	}
 	if r.Same {
-		return c.hold(now, r)
+		return c.confirm(now, r)
 	}
 	for _, n := range r.Needs {
 		if n.Arrived > 0 || n.Starting > 0 {
-			told := fleet.NeedReport{Priority: n.Priority, Arrived: n.Arrived, Starting: n.Starting}
-			if sum, ok := s.arrived[needOf(n)]; ok {
-				told = told.Plus(sum)
+			arrived := fleet.NeedReport{Priority: n.Priority, Arrived: n.Arrived, Starting: n.Starting}
+			if sum, ok := s.arrivals[needKeyOf(n)]; ok {
+				arrived = arrived.Plus(sum)
 			}
-			s.arrived[needOf(n)] = told
+			s.arrivals[needKeyOf(n)] = arrived
 		}
 	}
 	s.children[r.Host] = &child{
 		incarnation: r.Incarnation,
 		seq:         r.Seq,
-		at:          now,
-		seen:        now,
+		reportedAt:  now,
+		confirmedAt: now,
 		needs:       r.Needs,
 		unreachable: r.Unreachable,
 		pausing:     r.Pausing,
@@ -83,34 +83,34 @@
 	return true
 }
 
-// hold takes in that a host's needs are the same as before. It tells nothing of a host
-// that is not known: its next report names its needs.
-func (c *child) hold(now time.Time, r fleet.DemandReport) bool {
+// confirm confirms that the host's needs are unchanged. It returns false for an unknown host, whose
+// next report will contain its needs.
+func (c *child) confirm(now time.Time, r fleet.DemandReport) bool {
 	if c == nil || c.incarnation != r.Incarnation {
 		return false
 	}
 	c.seq = r.Seq
-	c.seen = now
+	c.confirmedAt = now
 	return true
 }
 
-// Sum adds to a host's own report what the hosts behind it have reported, and ends the
+// Sum returns this host's own report combined with those of the hosts behind it, and resets the
 // counts of arrivals.
 func (s *Sums) Sum(now time.Time, own fleet.DemandReport) fleet.DemandReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(now)
-	if len(s.children) == 0 && len(s.arrived) == 0 {
+	if len(s.children) == 0 && len(s.arrivals) == 0 {
 		return own
 	}
-	byNeed := map[need]*fleet.NeedReport{}
+	byNeed := map[needKey]*fleet.NeedReport{}
 	add := func(n fleet.NeedReport, age time.Duration) {
 		n.DueIn -= age.Milliseconds()
-		if sum := byNeed[needOf(n)]; sum != nil {
+		if sum := byNeed[needKeyOf(n)]; sum != nil {
 			*sum = sum.Plus(n)
 			return
 		}
-		byNeed[needOf(n)] = &n
+		byNeed[needKeyOf(n)] = &n
 	}
 	for _, n := range own.Needs {
 		add(n, 0)
@@ -119,16 +119,16 @@
 	for _, c := range s.children {
 		for _, n := range c.needs {
 			n.Arrived, n.Starting = 0, 0
-			add(n, now.Sub(c.at))
+			add(n, now.Sub(c.reportedAt))
 		}
 		maps.Copy(unreachable, setOf(c.unreachable))
 		maps.Copy(pausing, setOf(c.pausing))
 	}
-	for key, n := range s.arrived {
+	for key, n := range s.arrivals {
 		n.Service, n.Model, n.Adapter = key.service, key.model, key.adapter
 		add(n, 0)
 	}
-	clear(s.arrived)
+	clear(s.arrivals)
 	own.Needs = own.Needs[:0:0]
 	for _, n := range byNeed {
 		own.Needs = append(own.Needs, *n)
@@ -146,7 +146,7 @@
 	return set
 }
 
-// Heard tells of each host behind this one what it has heard of the controller.
+// Heard returns what each host behind this one has received from the controller.
 func (s *Sums) Heard(now time.Time) []fleet.Heard {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,10 +160,10 @@
 
 func (s *Sums) expire(now time.Time) {
 	for host, c := range s.children {
-		if now.Sub(c.seen) > childLife {
+		if now.Sub(c.confirmedAt) > childLife {
 			c.needs, c.unreachable, c.pausing, c.heard = nil, nil, nil, nil
 		}
-		if now.Sub(c.seen) > seqLife {
+		if now.Sub(c.confirmedAt) > seqLife {
 			delete(s.children, host)
 		}
 	}
