--- a/pkg/serve/allowance.go
+++ b/pkg/serve/allowance.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Allowances keep client accounts within what they may ask. Implementations are safe for
-// concurrent use and return at once.
+// Allowances enforces the rate limits of client accounts. Implementations are safe for
+// concurrent use and do not block.
 type Allowances interface {
-	// Allow counts a request of its account and tells whether it may run, or else when its
-	// client may come back.
+	// Allow charges a request to its account. It reports whether the request may run and, if
+	// not, after which time the client may retry.
 	Allow(r *Request) (ok bool, after time.Duration)
-	// Refund takes back a request that was allowed and has not run.
+	// Refund returns the charge of a request that was allowed but did not run.
 	Refund(r *Request)
 }
 
-// allowed tells whether the request's account may ask for it, and ends it if not: at once, since
-// waiting would only add to what the account asks next.
-func (x *exchange) allowed(ctx context.Context) bool {
+// chargeAccount charges the request to its account and reports whether it may run. A request
+// over the limit is refused at once.
+func (x *exchange) chargeAccount(ctx context.Context) bool {
 	if x.server.Allowances == nil || x.request.Account == "" {
 		return true
 	}
 	ok, after := x.server.Allowances.Allow(x.request)
 	if !ok {
-		x.giveUp(ctx, Refusal{Cause: CauseAllowance, NotRun: true, RetryAfter: after})
+		x.finish(ctx, Refusal{Cause: CauseAllowance, NotRun: true, RetryAfter: after})
 	}
 	return ok
 }
 
-// refund gives back what the request cost if it has certainly not run. What its client sends
-// again costs anew.
+// refund returns the charge of a request that certainly has not run. A retry by the client is
+// charged again.
 func (x *exchange) refund() {
 	if x.server.Allowances != nil && x.request.Account != "" && x.result.Runs == 0 {
 		x.server.Allowances.Refund(x.request)
--- a/pkg/serve/try.go
+++ b/pkg/serve/attempt.go
@@ -11,8 +11,8 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// try sends the request to one endpoint.
-func (x *exchange) try(ctx context.Context, e fleet.Endpoint) step {
+// attempt sends the request to one endpoint.
+func (x *exchange) attempt(ctx context.Context, e fleet.Endpoint) attemptResult {
 	s := x.server
 	start := s.Now()
 	if x.result.Sent == 0 {
@@ -22,10 +22,10 @@
 	defer span.End()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := x.watch(ctx, cancel, e)
-	defer watch.stop()
+	watcher := x.watchForStall(ctx, cancel, e)
+	defer watcher.stop()
 	x.result.Endpoint = e.ID
-	answer, err := s.Backend.Send(ctx, x.request, Send{
+	response, err := s.Backend.Send(ctx, x.request, Send{
 		Endpoint:  e,
 		Remaining: x.request.ClientDeadline.Sub(start),
 		LastEvent: x.lastEvent,
@@ -34,8 +34,8 @@
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
 		s.Queue.Release(x.request, e.ID, Use{})
-		x.giveUp(ctx, *refusal)
-		return finished
+		x.finish(ctx, *refusal)
+		return attemptDone
 	}
 	if errors.Is(err, ErrNotSent) {
 		span.RecordError(err)
@@ -43,10 +43,10 @@
 		s.Health.Suspect(s.Now(), e.ID)
 		unreachable := errors.Is(err, ErrUnreachable)
 		if unreachable {
-			x.refused(e)
+			x.recordUnreachable(e)
 		}
 		s.Queue.Release(x.request, e.ID, Use{Failed: true, Unreachable: unreachable})
-		return notRun
+		return attemptNotRun
 	}
 	x.result.Sent++
 	var unusable *UnusableError
@@ -57,40 +57,40 @@
 		span.RecordError(err)
 		x.result.Runs++
 		x.fail(ctx, e, err)
-		return failed
+		return attemptFailed
 	}
-	watch.progress()
-	if answer.Load != nil {
-		s.Health.Load(s.Now(), e.ID, *answer.Load)
+	watcher.progress()
+	if response.Load != nil {
+		s.Health.Load(s.Now(), e.ID, *response.Load)
 	}
-	if answer.Verdict != Elsewhere {
-		s.Health.Signals.Observe(s.Now(), e.ID, answer.Signals, start, answer.Verdict == Answered)
+	if response.Verdict != Elsewhere {
+		s.Health.Signals.Observe(s.Now(), e.ID, response.Signals, start, response.Verdict == Answered)
 	}
-	if answer.Verdict != Answered {
-		x.reject(e, answer)
-		return notRun
+	if response.Verdict != Answered {
+		x.reject(e, response)
+		return attemptNotRun
 	}
 	x.result.Runs++
 	s.Queue.Began(x.request, s.Now().Sub(start))
-	return x.take(ctx, e, answer, watch, start)
+	return x.handleResponse(ctx, e, response, watcher, start)
 }
 
-// reject notes why an endpoint did not run the request.
+// reject records why an endpoint did not run the request.
 func (x *exchange) reject(e fleet.Endpoint, a *Answer) {
 	s := x.server
 	now := s.Now()
-	what := x.request.Need().What()
-	_ = a.Body.Close() // Nothing of it is used.
+	name := x.request.Need().What()
+	_ = a.Body.Close() // The body is not used.
 	switch a.Verdict {
 	case Full:
-		s.Health.Full(now, e.ID, what)
+		s.Health.Full(now, e.ID, name)
 		x.result.Note = "endpoint is full"
 		if p := a.Signals.Pause; p > 0 {
 			x.result.Note = fmt.Sprintf("endpoint rejects and asks for a pause of %v", p)
 		}
 	case NotHeld:
-		s.Health.NotHeld(now, e.ID, what, x.rejected)
-		x.result.Note = "endpoint does not hold " + what
+		s.Health.NotHeld(now, e.ID, name, x.rejected)
+		x.result.Note = "endpoint does not hold " + name
 	case Elsewhere:
 		s.Health.Suspect(now, e.ID)
 		x.avoid[e.ID] = Never
@@ -99,59 +99,58 @@
 	s.Queue.Release(x.request, e.ID, Use{Failed: true})
 }
 
-// fail notes a run without a complete answer.
+// fail records a run without a complete response.
 func (x *exchange) fail(ctx context.Context, e fleet.Endpoint, err error) {
 	s := x.server
 	x.result.Note = err.Error()
-	if cause := context.Cause(ctx); errors.Is(cause, errGivenUp) {
+	if cause := context.Cause(ctx); errors.Is(cause, errAttemptAbandoned) {
 		x.result.Note = cause.Error()
 	}
-	// A client that has gone, or its deadline, is no fault of the endpoint, whatever
-	// the error says that it leaves behind.
+	// A disconnected client or an expired deadline is not a failure of the endpoint.
 	failed := ctx.Err() == nil && !errors.Is(err, errClientWrite)
 	if failed {
 		s.Health.Result(e.ID, x.request.Service, true)
 	}
-	x.broke(e, failed && !errors.Is(context.Cause(ctx), errGivenUp))
+	x.recordBroken(e, failed && !errors.Is(context.Cause(ctx), errAttemptAbandoned))
 	s.Queue.Release(x.request, e.ID, Use{Failed: failed})
 }
 
-// take passes on an answer, or keeps a failed one for which another endpoint
-// may do better.
-func (x *exchange) take(ctx context.Context, e fleet.Endpoint, a *Answer, w *watcher, start time.Time) step {
+// handleResponse forwards a response, or keeps a failed one as the fallback if another
+// endpoint may succeed.
+func (x *exchange) handleResponse(ctx context.Context, e fleet.Endpoint, a *Answer, w *stallWatcher, start time.Time) attemptResult {
 	s := x.server
 	s.Health.Result(e.ID, x.request.Service, a.Failed())
-	if a.Failed() && (x.begun || x.mayRunAgain(ctx)) {
+	if a.Failed() && (x.headSent || x.mayRunAgain(ctx)) {
 		s.Queue.Release(x.request, e.ID, Use{Failed: true})
-		if x.begun {
-			_ = a.Body.Close() // The head of another answer went out already.
-			return failed
+		if x.headSent {
+			_ = a.Body.Close() // The head of another response was sent already.
+			return attemptFailed
 		}
-		x.dropKept()
-		x.kept = a
-		return failed
+		x.dropFallback()
+		x.fallback = a
+		return attemptFailed
 	}
-	x.dropKept()
+	x.dropFallback()
 	err := x.forward(a, w, e.ID)
-	_ = a.Body.Close() // The body was read to its end or is given up.
+	_ = a.Body.Close() // The body was read completely or is discarded.
 	if err == nil {
 		x.result.Complete = true
 		x.result.Status = a.Status
-		x.served(e, start)
+		x.recordServed(e, start)
 		s.Queue.Release(x.request, e.ID, Use{Took: s.Now().Sub(start)})
-		return finished
+		return attemptDone
 	}
 	x.fail(ctx, e, err)
 	if errors.Is(err, errClientWrite) {
 		x.result.Refusal = &Refusal{Cause: CauseClientGone}
 		x.sink.Abort()
-		return finished
+		return attemptDone
 	}
-	return failed
+	return attemptFailed
 }
 
-// pass sends a failed answer that was kept.
-func (x *exchange) pass(a *Answer) {
+// sendFallback forwards a failed response that was kept.
+func (x *exchange) sendFallback(a *Answer) {
 	x.result.Status = a.Status
 	if err := x.forward(a, nil, x.result.Endpoint); err != nil {
 		x.result.Note = err.Error()
@@ -164,16 +163,16 @@
 func (x *exchange) abortOrFail() {
 	r := Refusal{Cause: CauseBroken}
 	x.result.Refusal = &r
-	if x.begun {
+	if x.headSent {
 		x.sink.Abort()
 		return
 	}
 	x.sink.Refuse(r)
 }
 
-func (x *exchange) dropKept() {
-	if x.kept != nil {
-		_ = x.kept.Body.Close() // Its request has ended.
-		x.kept = nil
+func (x *exchange) dropFallback() {
+	if x.fallback != nil {
+		_ = x.fallback.Body.Close() // The body is discarded.
+		x.fallback = nil
 	}
 }
--- a/pkg/serve/demand.go
+++ b/pkg/serve/demand.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Demand is one need as this host sees it.
+// Demand is the demand for one model or adapter of a service at this host.
 type Demand struct {
 	Need
 	Waiting int
-	// InTime is how many of the waiting requests can still begin in time.
+	// InTime is the number of waiting requests that can still meet their objective.
 	InTime int
-	// Due is the earliest time at which waiting begins to cost, of those that can
-	// be in time if there are any.
+	// Due is the earliest time returned by the function Due for the waiting requests. If any
+	// of them can still meet its objective, only those are considered.
 	Due time.Time
-	// Inflight requests run, Arrived ones came since the last report.
+	// Inflight counts running requests, Arrived those received since the last call of
+	// Dispatcher.Demand.
 	Inflight int
 	Arrived  int
-	// Starting is for how long requests have waited at endpoints for the first part
-	// of their answers, summed, since the last report.
+	// Starting is the total time that requests waited at endpoints for the first byte of the
+	// response since the last call of Dispatcher.Demand.
 	Starting time.Duration
-	// Priority is the most urgent rank that asked, 0 first.
+	// Priority is the highest priority among the requests, where 0 is the highest.
 	Priority int
 }
 
-// wait counts a waiting request.
-func (x *Demand) wait(due time.Time, inTime bool) {
-	better := inTime && x.InTime == 0 || inTime == (x.InTime > 0) && due.Before(x.Due)
-	if x.Waiting == 0 || better {
-		x.Due = due
+// addWaiting counts a waiting request.
+func (d *Demand) addWaiting(due time.Time, inTime bool) {
+	better := inTime && d.InTime == 0 || inTime == (d.InTime > 0) && due.Before(d.Due)
+	if d.Waiting == 0 || better {
+		d.Due = due
 	}
-	x.Waiting++
+	d.Waiting++
 	if inTime {
-		x.InTime++
+		d.InTime++
 	}
 }
 
-// Demand returns all needs with use and resets the counts of arrivals.
+// Demand returns the current demand and resets the counters of arrivals and first-byte waits.
 func (d *Dispatcher) Demand() []Demand {
 	d.mu.Lock()
 	shards := make([]*shard, 0, len(d.shards))
@@ -53,38 +54,38 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	byNeed := map[Need]*Demand{}
-	for n, u := range s.use {
+	for n, st := range s.stats {
 		if n.Model == "" {
 			continue
 		}
-		wanted := now.Before(u.wantedUntil)
-		if u.inflight == 0 && u.arrived == 0 && !wanted {
-			delete(s.use, n)
+		unmet := now.Before(st.unmetUntil)
+		if st.inflight == 0 && st.arrived == 0 && !unmet {
+			delete(s.stats, n)
 			continue
 		}
-		byNeed[n] = &Demand{Need: n, Inflight: u.inflight, Arrived: u.arrived, Starting: u.starting, Priority: u.priority}
-		if wanted && u.inflight == 0 {
-			// It is due when its client comes back, after all that wait.
+		byNeed[n] = &Demand{Need: n, Inflight: st.inflight, Arrived: st.arrived, Starting: st.firstByteWait, Priority: st.priority}
+		if unmet && st.inflight == 0 {
+			// The client of the refused request is expected to retry by then.
 			byNeed[n].Waiting = 1
-			byNeed[n].Due = u.wantedUntil
+			byNeed[n].Due = st.unmetUntil
 		}
-		u.arrived = 0
-		u.starting = 0
+		st.arrived = 0
+		st.firstByteWait = 0
 	}
 	for _, w := range s.waiting {
 		if w.need.Model == "" {
 			continue
 		}
-		x := byNeed[w.need]
-		if x == nil {
-			x = &Demand{Need: w.need, Priority: w.request.Route.Priority}
-			byNeed[w.need] = x
+		d := byNeed[w.need]
+		if d == nil {
+			d = &Demand{Need: w.need, Priority: w.request.Route.Priority}
+			byNeed[w.need] = d
 		}
-		x.wait(Due(w.request, now))
+		d.addWaiting(Due(w.request, now))
 	}
 	list := make([]Demand, 0, len(byNeed))
-	for _, x := range byNeed {
-		list = append(list, *x)
+	for _, d := range byNeed {
+		list = append(list, *d)
 	}
 	return list
 }
--- a/pkg/serve/dispatch.go
+++ b/pkg/serve/dispatcher.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// silentLimit is how long an endpoint with running requests may send nothing
-	// at all before it is taken for hung. Several requests share it, so that
-	// their first tokens and events come far more often.
-	silentLimit = 900 * time.Millisecond
-	// wantedFor is how long a refused request counts as demand: the longest time
-	// after which clients are told to come back.
-	wantedFor = maxRetryAfter
-	// recheck is how often a waiting request looks at what may have ended its wait.
-	recheck = 500 * time.Millisecond
-	// serviceWeight is the weight of one request in the moving service time.
-	serviceWeight = 0.1
-	// startService is the service time assumed before the first request.
-	startService = 200 * time.Millisecond
+	// stalledAfter is the time without any response byte after which an endpoint with running
+	// requests is considered stalled.
+	stalledAfter = 900 * time.Millisecond
+	// unmetDemandTTL is how long a refused request counts as demand. It covers the longest
+	// Retry-After sent to clients.
+	unmetDemandTTL = maxRetryAfter
+	// holdRecheckInterval is how often a waiting request reevaluates whether to keep waiting.
+	holdRecheckInterval = 500 * time.Millisecond
+	// serviceTimeWeight is the weight of one request in the moving average of the service
+	// time.
+	serviceTimeWeight = 0.1
+	// initialServiceTime is the service time assumed before the first request.
+	initialServiceTime = 200 * time.Millisecond
 )
 
-// Need names what an endpoint must hold for a request.
+// Need identifies the service, model and adapter that a request requires.
 type Need struct {
 	Service string
 	Model   string
 	Adapter string
 }
 
-// What names the model, or the adapter with its model.
+// What returns the name of the model, or of the adapter prefixed with its model.
 func (n Need) What() string {
 	if n.Adapter == "" {
 		return n.Model
@@ -43,72 +43,74 @@
 	return n.Model + "/" + n.Adapter
 }
 
-// Found is where a need is met.
+// Found describes which endpoints can serve a Need.
 type Found struct {
-	// Ready endpoints hold what is needed and take requests.
+	// Ready lists the endpoints that have the model loaded and accept requests.
 	Ready []fleet.Endpoint
-	// ComingAt is when the next endpoint will, zero if none is loading.
+	// ComingAt is when the next endpoint finishes loading the model, or zero if none is
+	// loading it.
 	ComingAt time.Time
-	// FarUntil is when a model that has no copy at any endpoint can serve at
-	// best; zero if it has one or that is not known.
+	// FarUntil is the earliest time at which a model without a replica can be ready. It is
+	// zero if the model has a replica or the time is not known.
 	FarUntil time.Time
-	// Known tells whether the service has any endpoint.
+	// Known reports whether the service has any endpoint.
 	Known bool
-	// Unnamed needs are for a model or adapter that no configuration names.
+	// Unnamed reports that no configuration names the model or adapter.
 	Unnamed bool
 }
 
-// Placement tells where models are held.
+// Placement locates the endpoints that can serve a Need.
 type Placement interface {
 	Find(now time.Time, n Need) Found
 }
 
-// Dispatcher is the queue of requests that are ranked by their routes and aims.
-// Its state is in shards by service, each under its own lock.
+// Dispatcher is a Queue that orders waiting requests by the priority of their route and by
+// their objective. Its state is sharded by service, with one lock per shard.
 type Dispatcher struct {
 	zone      string
 	placement Placement
 	health    *Health
 	now       func() time.Time
-	// wanted is called without a lock when a request waits for a model that no
-	// endpoint holds.
-	wanted func()
+	// onMissingModel is called without a lock held when a request needs a model that no
+	// endpoint can serve now.
+	onMissingModel func()
 
 	mu     sync.Mutex
 	shards map[string]*shard
-	// closeAt is when everything that waits is refused, zero while the host stays.
+	// closeAt is the time until which requests may wait, or nil while the host is not shutting
+	// down.
 	closeAt atomic.Pointer[time.Time]
 }
 
-// CloseAt makes requests wait no longer than until then: the host stops.
+// CloseAt limits the wait of all requests to the given time, because the host shuts down.
 func (d *Dispatcher) CloseAt(at time.Time) { d.closeAt.Store(&at) }
 
 // shard is the queue of one service.
 type shard struct {
-	mu      sync.Mutex
-	waiting []*waiter
-	use     map[Need]*use
-	service time.Duration
+	mu          sync.Mutex
+	waiting     []*waiter
+	stats       map[Need]*needStats
+	serviceTime time.Duration
 }
 
-type use struct {
+type needStats struct {
 	inflight int
 	arrived  int
 	priority int
-	// starting is for how long requests have waited at endpoints for the first part
-	// of their answers, summed, since the last report.
-	starting time.Duration
-	// wantedUntil is until when a refused request counts as demand: its client
-	// was told to come back, and the model has to be loaded by then.
-	wantedUntil time.Time
+	// firstByteWait is the total time that requests waited at endpoints for the first byte of
+	// the response since the last report.
+	firstByteWait time.Duration
+	// unmetUntil is the time until which a refused request counts as demand. Its client is
+	// expected to retry, so the model has to be loaded by then.
+	unmetUntil time.Time
 }
 
 type waiter struct {
 	need    Need
 	request *Request
 	avoid   Avoidance
-	// place receives an endpoint, or a refusal, exactly once.
-	place chan grant
+	// granted receives an endpoint or a refusal, at most once.
+	granted chan grant
 }
 
 type grant struct {
@@ -116,9 +118,10 @@
 	refusal  *Refusal
 }
 
-// NewDispatcher returns a dispatcher without any requests.
-func NewDispatcher(zone string, p Placement, h *Health, now func() time.Time, wanted func()) *Dispatcher {
-	return &Dispatcher{zone: zone, placement: p, health: h, now: now, wanted: wanted, shards: map[string]*shard{}}
+// NewDispatcher returns an empty dispatcher for a host in the given availability zone.
+// onMissingModel is called when a request needs a model that no endpoint can serve now.
+func NewDispatcher(zone string, p Placement, h *Health, now func() time.Time, onMissingModel func()) *Dispatcher {
+	return &Dispatcher{zone: zone, placement: p, health: h, now: now, onMissingModel: onMissingModel, shards: map[string]*shard{}}
 }
 
 func (d *Dispatcher) shard(service string) *shard {
@@ -126,19 +129,19 @@
 	defer d.mu.Unlock()
 	s := d.shards[service]
 	if s == nil {
-		s = &shard{use: map[Need]*use{}, service: startService}
+		s = &shard{stats: map[Need]*needStats{}, serviceTime: initialServiceTime}
 		d.shards[service] = s
 	}
 	return s
 }
 
-func (s *shard) useOf(n Need) *use {
-	u := s.use[n]
-	if u == nil {
-		u = &use{priority: math.MaxInt}
-		s.use[n] = u
+func (s *shard) statsOf(n Need) *needStats {
+	st := s.stats[n]
+	if st == nil {
+		st = &needStats{priority: math.MaxInt}
+		s.stats[n] = st
 	}
-	return u
+	return st
 }
 
 // Arrive implements Queue.
@@ -146,40 +149,41 @@
 	s := d.shard(r.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u := s.useOf(r.Need())
-	u.arrived++
-	u.priority = min(u.priority, r.Route.Priority)
+	st := s.statsOf(r.Need())
+	st.arrived++
+	st.priority = min(st.priority, r.Route.Priority)
 }
 
 // Acquire implements Queue.
 func (d *Dispatcher) Acquire(ctx context.Context, r *Request, t Tried) (fleet.Endpoint, *Refusal) {
 	s := d.shard(r.Service)
-	w := &waiter{need: r.Need(), request: r, avoid: t.At, place: make(chan grant, 1)}
+	w := &waiter{need: r.Need(), request: r, avoid: t.At, granted: make(chan grant, 1)}
 	now := d.now()
 	s.mu.Lock()
 	if e, ok := d.pick(now, s, w); ok {
 		s.mu.Unlock()
 		return e, nil
 	}
-	situation, cold := d.situation(now, w)
+	situation, missing := d.situation(now, w)
 	until, retryAfter, hold := d.hold(r, situation)
 	if !hold || !situation.Known {
-		s.wantLater(now, w.need, situation)
+		s.keepDemand(now, w.need, situation)
 		s.mu.Unlock()
-		if cold {
-			d.wanted()
+		if missing {
+			d.onMissingModel()
 		}
 		return fleet.Endpoint{}, refuse(situation, max(retryAfter, minRetryAfter))
 	}
 	s.push(w)
 	s.mu.Unlock()
-	if cold {
-		d.wanted()
+	if missing {
+		d.onMissingModel()
 	}
 	return d.await(ctx, s, w, until)
 }
 
-// hold decides whether a request waits, also in view of the host's stop.
+// hold decides whether a request waits. It limits the result of Hold to the time set by
+// CloseAt.
 func (d *Dispatcher) hold(r *Request, s Situation) (until time.Time, retryAfter time.Duration, hold bool) {
 	until, retryAfter, hold = Hold(r, s)
 	if at := d.closeAt.Load(); at != nil && until.After(*at) {
@@ -207,9 +211,9 @@
 
 func (d *Dispatcher) await(ctx context.Context, s *shard, w *waiter, until time.Time) (fleet.Endpoint, *Refusal) {
 	for {
-		timer := time.NewTimer(min(until.Sub(d.now()), recheck))
+		timer := time.NewTimer(min(until.Sub(d.now()), holdRecheckInterval))
 		select {
-		case g := <-w.place:
+		case g := <-w.granted:
 			timer.Stop()
 			return g.endpoint, g.refusal
 		case <-timer.C:
@@ -227,17 +231,17 @@
 		}
 		removed := s.remove(w)
 		if removed && ctx.Err() == nil {
-			// A place may have come free with time alone, and nobody has looked since.
+			// A slot may have become available without a call of Kick.
 			if e, ok := d.pick(now, s, w); ok {
 				s.mu.Unlock()
 				return e, nil
 			}
 		}
-		s.wantLater(now, w.need, situation)
+		s.keepDemand(now, w.need, situation)
 		s.mu.Unlock()
 		if !removed {
-			// A place was given at the same moment.
-			g := <-w.place
+			// A slot was granted concurrently.
+			g := <-w.granted
 			return g.endpoint, g.refusal
 		}
 		if ctx.Err() != nil {
@@ -247,10 +251,11 @@
 	}
 }
 
-// situation tells also whether a model is missing that should be loaded.
-func (d *Dispatcher) situation(now time.Time, w *waiter) (s Situation, cold bool) {
+// situation returns the input of Hold for a waiter. missing reports whether the request needs
+// a model that no endpoint can serve now and that should be loaded.
+func (d *Dispatcher) situation(now time.Time, w *waiter) (s Situation, missing bool) {
 	f := d.placement.Find(now, w.need)
-	freeAt, limited := d.freed(now, w.need, f.Ready)
+	freeAt, limited := d.limitedUntil(now, w.need, f.Ready)
 	s = Situation{Now: now, Ready: len(f.Ready) > 0 && !limited, ComingAt: f.ComingAt, FarUntil: f.FarUntil, Known: f.Known, Unnamed: f.Unnamed, Limited: limited}
 	if s.ComingAt.IsZero() || !freeAt.IsZero() && freeAt.Before(s.ComingAt) {
 		s.ComingAt = freeAt
@@ -258,16 +263,16 @@
 	return s, !s.Ready && !s.Unnamed && w.need.Model != ""
 }
 
-// wantLater keeps a need alive whose request was refused because its model has
-// to come from the weight store. Otherwise a model that takes longer to load than clients wait
-// would be refused for ever and never loaded.
-func (s *shard) wantLater(now time.Time, n Need, why Situation) {
-	if !why.Ready && !why.FarUntil.IsZero() {
-		s.useOf(n).wantedUntil = now.Add(wantedFor)
+// keepDemand keeps counting a refused request as demand if its model has to be loaded from the
+// weight store. Without it, a model that takes longer to load than clients wait would never be
+// loaded.
+func (s *shard) keepDemand(now time.Time, n Need, situation Situation) {
+	if !situation.Ready && !situation.FarUntil.IsZero() {
+		s.statsOf(n).unmetUntil = now.Add(unmetDemandTTL)
 	}
 }
 
-// push keeps the queue in the order in which places are given.
+// push inserts w ordered by the priority of its route and then by its objective.
 func (s *shard) push(w *waiter) {
 	at, _ := slices.BinarySearchFunc(s.waiting, w, func(a, b *waiter) int {
 		return cmp.Or(cmp.Compare(a.request.Route.Priority, b.request.Route.Priority), a.request.Aim().Compare(b.request.Aim()), -1)
@@ -284,7 +289,8 @@
 	return true
 }
 
-// Kick gives places to waiting requests after something has changed.
+// Kick grants free slots to waiting requests. It must be called after endpoints or their state
+// change.
 func (d *Dispatcher) Kick() {
 	d.mu.Lock()
 	services := make([]string, 0, len(d.shards))
@@ -293,26 +299,26 @@
 	}
 	d.mu.Unlock()
 	for _, name := range services {
-		d.kick(d.shard(name))
+		d.kickShard(d.shard(name))
 	}
 }
 
-func (d *Dispatcher) kick(s *shard) {
+func (d *Dispatcher) kickShard(s *shard) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := d.now()
-	// A need that found no place is not tried again for later requests.
-	blocked := map[Need]bool{}
+	// Later requests with the same need are skipped once one found no slot.
+	noSlot := map[Need]bool{}
 	s.waiting = slices.DeleteFunc(s.waiting, func(w *waiter) bool {
-		if blocked[w.need] {
+		if noSlot[w.need] {
 			return false
 		}
 		e, ok := d.pick(now, s, w)
 		if !ok {
-			blocked[w.need] = len(w.avoid) == 0
+			noSlot[w.need] = len(w.avoid) == 0
 			return false
 		}
-		w.place <- grant{endpoint: e}
+		w.granted <- grant{endpoint: e}
 		return true
 	})
 }
@@ -322,18 +328,18 @@
 	d.health.End(e)
 	if u.Unreachable {
 		d.health.Unreachable(d.now(), e)
-		d.wanted()
+		d.onMissingModel()
 	}
 	s := d.shard(r.Service)
 	s.mu.Lock()
-	s.useOf(r.Need()).inflight--
+	s.statsOf(r.Need()).inflight--
 	if u.Took > 0 {
-		s.service += time.Duration(float64(u.Took-s.service) * serviceWeight)
+		s.serviceTime += time.Duration(float64(u.Took-s.serviceTime) * serviceTimeWeight)
 	}
 	idle := len(s.waiting) == 0
 	s.mu.Unlock()
 	if !idle {
-		d.kick(s)
+		d.kickShard(s)
 	}
 }
 
@@ -342,7 +348,7 @@
 	s := d.shard(r.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.useOf(r.Need()).starting += after
+	s.statsOf(r.Need()).firstByteWait += after
 }
 
 // ServiceTime implements Queue.
@@ -350,5 +356,5 @@
 	s := d.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.service
+	return s.serviceTime
 }
--- a/pkg/serve/forward.go
+++ b/pkg/serve/forward.go
@@ -11,15 +11,15 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// errClientWrite marks that the client takes no more bytes.
-var errClientWrite = errors.New("client takes no more")
+// errClientWrite marks errors of writing to the client.
+var errClientWrite = errors.New("write to client failed")
 
-// errGivenUp marks tries that this host gave up for another.
-var errGivenUp = errors.New("try was given up")
+// errAttemptAbandoned marks attempts that this host abandoned to retry at another endpoint.
+var errAttemptAbandoned = errors.New("try was given up")
 
-// forward passes an answer on to the client.
-func (x *exchange) forward(a *Answer, w *watcher, id fleet.EndpointID) error {
-	body := &noted{in: a.Body, note: func() {
+// forward sends a response to the client.
+func (x *exchange) forward(a *Answer, w *stallWatcher, id fleet.EndpointID) error {
+	body := &notifyReader{src: a.Body, onRead: func() {
 		x.server.Health.Byte(x.server.Now(), id)
 		if w != nil {
 			w.progress()
@@ -31,38 +31,38 @@
 		}
 		return x.forwardRaw(a, body, nil)
 	}
-	head, err := io.ReadAll(io.LimitReader(body, bufferedBody))
+	head, err := io.ReadAll(io.LimitReader(body, bufferedBodyBytes))
 	if err != nil {
 		return errors.Wrap(err, "read body")
 	}
-	if len(head) < bufferedBody {
+	if len(head) < bufferedBodyBytes {
 		x.begin(a)
 		return x.write(head)
 	}
 	return x.forwardRaw(a, body, head)
 }
 
-// noted calls note for each read that brought bytes.
-type noted struct {
-	in   io.Reader
-	note func()
+// notifyReader calls onRead after each read that returned bytes.
+type notifyReader struct {
+	src    io.Reader
+	onRead func()
 }
 
 // Read implements io.Reader.
-func (n *noted) Read(p []byte) (int, error) {
-	k, err := n.in.Read(p)
-	if k > 0 {
-		n.note()
+func (n *notifyReader) Read(p []byte) (int, error) {
+	count, err := n.src.Read(p)
+	if count > 0 {
+		n.onRead()
 	}
-	return k, err
+	return count, err
 }
 
 func (x *exchange) begin(a *Answer) {
-	if x.begun {
+	if x.headSent {
 		x.result.Resumed++
 		return
 	}
-	x.begun = true
+	x.headSent = true
 	x.result.FirstByte = x.server.Now().Sub(x.request.Arrived)
 	x.sink.Begin(a)
 }
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// forwardRaw copies a body as its bytes come.
+// forwardRaw copies a body unbuffered.
 func (x *exchange) forwardRaw(a *Answer, body io.Reader, head []byte) error {
 	buf := make([]byte, 8<<10)
 	if len(head) > 0 {
@@ -89,7 +89,7 @@
 	for {
 		n, err := body.Read(buf)
 		if n > 0 || err == io.EOF {
-			if !x.begun {
+			if !x.headSent {
 				x.begin(a)
 			}
 			if werr := x.write(buf[:n]); werr != nil {
@@ -105,14 +105,13 @@
 	}
 }
 
-// forwardEvents passes on whole events only. A stream that breaks goes on with
-// the event after the last one delivered; a part of an event that went out
-// would be joined with the next run's and spoil both.
+// forwardEvents forwards complete events only, so that a broken stream can be resumed after
+// the last delivered event.
 func (x *exchange) forwardEvents(a *Answer, body io.Reader) error {
-	in := &events{in: body}
+	r := &eventReader{src: body}
 	first := true
 	for {
-		whole, id, err := in.next()
+		complete, id, err := r.next()
 		if err == io.EOF {
 			if first {
 				x.begin(a)
@@ -126,7 +125,7 @@
 			x.begin(a)
 			first = false
 		}
-		if err := x.write(whole); err != nil {
+		if err := x.write(complete); err != nil {
 			return err
 		}
 		if id != "" {
@@ -135,105 +134,103 @@
 	}
 }
 
-// watcher gives a try up when its endpoint has fallen silent and the request
-// may run elsewhere.
-type watcher struct {
-	mu    sync.Mutex
-	timer *time.Timer
-	last  time.Time
-	// moved is set once the endpoint has sent something.
-	moved bool
-	now   func() time.Time
+// stallWatcher abandons an attempt if its endpoint stalls and the request may run elsewhere.
+type stallWatcher struct {
+	mu       sync.Mutex
+	timer    *time.Timer
+	lastByte time.Time
+	// gotFirstByte is set once the endpoint has sent any byte of the response.
+	gotFirstByte bool
+	now          func() time.Time
 }
 
-func (x *exchange) watch(ctx context.Context, cancel context.CancelCauseFunc, e fleet.Endpoint) *watcher {
+func (x *exchange) watchForStall(ctx context.Context, cancel context.CancelCauseFunc, e fleet.Endpoint) *stallWatcher {
 	s := x.server
 	start := s.Now()
-	w := &watcher{now: s.Now, last: start}
+	w := &stallWatcher{now: s.Now, lastByte: start}
 	route := x.request.Route
 	if !route.Repeatable() || x.result.Runs+1 >= route.Attempts || route.Objective == 0 {
-		// Without an objective nothing tells a slow answer from a hung endpoint.
+		// Without an objective, a slow response cannot be told from a stalled endpoint.
 		return w
 	}
-	patience := x.patience()
-	ask := askAfter
+	timeout := x.progressTimeout()
+	nextCheck := checkRunAfter
 	check := func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.timer == nil {
 			return
 		}
-		if !w.moved && s.Now().Sub(start) >= ask {
-			ask *= 2
-			go x.askForRun(ctx, e, w, cancel)
+		if !w.gotFirstByte && s.Now().Sub(start) >= nextCheck {
+			nextCheck *= 2
+			go x.checkRun(ctx, e, w, cancel)
 		}
-		quiet := s.Now().Sub(w.last)
-		hung := quiet >= patience || (quiet >= silentLimit && s.Health.Silent(s.Now(), e.ID) >= silentLimit)
-		// Without another endpoint a second run would only add to the load that
-		// makes this one slow, and throw away what it has done.
-		if hung && s.Queue.HasOther(x.request, e.ID) && x.takeRetry() {
+		silence := s.Now().Sub(w.lastByte)
+		stalled := silence >= timeout || (silence >= stalledAfter && s.Health.Silent(s.Now(), e.ID) >= stalledAfter)
+		// Without another endpoint, canceling the attempt would discard its progress and a
+		// second run would add load to the same endpoint.
+		if stalled && s.Queue.HasOther(x.request, e.ID) && x.reserveRetry() {
 			s.Health.Suspect(s.Now(), e.ID)
-			cancel(errors.Wrapf(errGivenUp, "nothing came for %v", quiet.Round(time.Millisecond)))
+			cancel(errors.Wrapf(errAttemptAbandoned, "nothing came for %v", silence.Round(time.Millisecond)))
 			return
 		}
-		w.timer.Reset(min(patience, silentLimit) / 3)
+		w.timer.Reset(min(timeout, stalledAfter) / 3)
 	}
 	w.mu.Lock()
-	w.timer = time.AfterFunc(min(patience, silentLimit), check)
+	w.timer = time.AfterFunc(min(timeout, stalledAfter), check)
 	w.mu.Unlock()
 	return w
 }
 
-// askForRun gives a try up whose answer is lost: its endpoint has ended the run, or
-// has begun to answer and nothing has come. Such requests of models with a single
-// replica waited until their clients left, 12 s with an objective of 3 s, since no
-// other endpoint could take them.
-func (x *exchange) askForRun(ctx context.Context, e fleet.Endpoint, w *watcher, cancel context.CancelCauseFunc) {
-	ctx, stop := context.WithTimeout(ctx, askTimeout)
+// checkRun abandons an attempt whose response is lost: the endpoint no longer holds the
+// request, or reports that it started to respond while no byte has arrived. It also covers
+// models with a single replica, for which no other endpoint is available.
+func (x *exchange) checkRun(ctx context.Context, e fleet.Endpoint, w *stallWatcher, cancel context.CancelCauseFunc) {
+	ctx, stop := context.WithTimeout(ctx, checkRunTimeout)
 	defer stop()
 	run, err := x.server.Backend.Run(ctx, x.request, e)
 	if err != nil {
-		// Nothing is known of the run; the other timeouts of the try go on.
+		// The state of the run is unknown; the other timeouts of the attempt still apply.
 		trace.SpanFromContext(ctx).RecordError(err)
 		return
 	}
 	if run.Held && !run.Begun {
 		return
 	}
-	if w.unmoved() && x.takeRetry() {
-		cancel(errors.Wrapf(errGivenUp, "answer is lost: held there %t, begun %t", run.Held, run.Begun))
+	if w.awaitingFirstByte() && x.reserveRetry() {
+		cancel(errors.Wrapf(errAttemptAbandoned, "answer is lost: held there %t, begun %t", run.Held, run.Begun))
 	}
 }
 
-// patience is how long a repeatable request waits for the next byte.
-func (x *exchange) patience() time.Duration {
+// progressTimeout returns how long a repeatable request waits for the next byte.
+func (x *exchange) progressTimeout() time.Duration {
 	route := x.request.Route
-	if x.begun {
-		return max(gapPatience*route.MaxGap, silentLimit)
+	if x.headSent {
+		return max(maxGapFactor*route.MaxGap, stalledAfter)
 	}
-	usual := x.server.Queue.ServiceTime(x.request.Service)
+	serviceTime := x.server.Queue.ServiceTime(x.request.Service)
 	if route.Kind == fleet.Stream {
-		usual = 0
+		serviceTime = 0
 	}
-	return max(minPatience, time.Duration(patienceObjectives*float64(route.Objective)), patienceServices*usual)
+	return max(minFirstByteTimeout, time.Duration(firstByteObjectives*float64(route.Objective)), firstByteServiceTimes*serviceTime)
 }
 
-// progress notes that the endpoint has sent something for this request.
-func (w *watcher) progress() {
+// progress records that the endpoint has sent bytes for this request.
+func (w *stallWatcher) progress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.last = w.now()
-	w.moved = true
+	w.lastByte = w.now()
+	w.gotFirstByte = true
 }
 
-// unmoved tells whether the try still waits for its first byte.
-func (w *watcher) unmoved() bool {
+// awaitingFirstByte reports whether the attempt is still waiting for its first byte.
+func (w *stallWatcher) awaitingFirstByte() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.timer != nil && !w.moved
+	return w.timer != nil && !w.gotFirstByte
 }
 
-func (w *watcher) stop() {
+func (w *stallWatcher) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.timer != nil {
--- a/pkg/serve/guard.go
+++ b/pkg/serve/guard.go
@@ -7,134 +7,134 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// Guard keeps requests that crash endpoints from them. Implementations are safe for concurrent
-// use; only Enter and Probe.Await wait.
+// Guard keeps requests that crash endpoints from reaching further endpoints. A suspected
+// request, whose runs ended with a crash of their endpoint, runs one copy at a time.
+// Implementations are safe for concurrent use. Only Enter and Probe.Await block.
 type Guard interface {
-	// Blocked tells whether a request must not reach any endpoint.
+	// Blocked reports whether the request must not be sent to any endpoint.
 	Blocked(f fleet.Fingerprint) bool
-	// Broke notes that the run of a copy at an endpoint broke off. The end of the endpoint is
-	// suspected where nothing else explains it.
+	// Broke records that a run of a request at an endpoint ended without a complete response.
+	// suspected reports whether no other cause than a crash of the endpoint is known.
 	Broke(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool)
-	// Refused notes that no connection could be made to an endpoint.
+	// Refused records that no connection to the endpoint could be made.
 	Refused(e fleet.Endpoint)
-	// Served notes that an endpoint has answered a request to the end that was sent there when
-	// it began.
+	// Served records that the endpoint completed the response to a request that was sent at
+	// began.
 	Served(e fleet.Endpoint, f fleet.Fingerprint, began time.Time)
-	// Suspected tells whether a request is on trial: it runs one copy at a time, and none is
-	// sent to a second endpoint.
+	// Suspected reports whether the request is suspected of crashing endpoints. Such a request
+	// runs one copy at a time and is never sent to a second endpoint.
 	Suspected(f fleet.Fingerprint) bool
-	// Enter waits until a request may look for a place at an endpoint, and tells whether it
-	// may. Of one on trial a single copy at this host may, as a probe.
+	// Enter blocks until the request may wait for a slot, and reports whether it may. For a
+	// suspected request, only one copy per host may proceed, as a probe.
 	Enter(ctx context.Context, f fleet.Fingerprint, until time.Time) (Probe, bool)
 }
 
-// Probe is the copy of a request on trial that goes ahead of the others at its host.
+// Probe is the one copy of a suspected request at this host that may run.
 type Probe interface {
-	// Await waits for the turn of this host and tells whether the copy may run.
+	// Await blocks until this host may run the probe and reports whether it may.
 	Await(ctx context.Context) bool
-	// Done ends the probe. The endpoint is the one that the copy was sent to last.
+	// Done ends the probe. e is the endpoint to which it was last sent.
 	Done(e fleet.Endpoint, outcome ProbeOutcome)
 }
 
-// ProbeOutcome is what became of a probe.
+// ProbeOutcome is the result of a probe.
 type ProbeOutcome int
 
-// The outcomes.
 const (
-	// ProbeNotRun probes have certainly not run.
+	// ProbeNotRun means that the request certainly has not run.
 	ProbeNotRun ProbeOutcome = iota
-	// ProbeBroken probes may have run and have no complete answer.
+	// ProbeBroken means that the request may have run and has no complete response.
 	ProbeBroken
-	// ProbeServed probes were answered to the end.
+	// ProbeServed means that the response is complete.
 	ProbeServed
 )
 
-// guarded tells whether a guard knows the request when it comes again.
+// guarded reports whether the guard can identify repeats of the request.
 func (x *exchange) guarded() bool {
 	return x.server.Guard != nil && x.request.Fingerprint.Content != 0
 }
 
-// blocked tells whether the request must not reach any endpoint, and ends it if so. What it
-// ends with is a promise unless it has run: nobody will run it. It tells clients to come
-// back as late as they obey, since nothing will have changed.
-func (x *exchange) blocked(ctx context.Context) bool {
+// refuseIfBlocked refuses the request if the guard blocks it, and reports whether it did. The
+// client gets the longest Retry-After, since a block does not end soon.
+func (x *exchange) refuseIfBlocked(ctx context.Context) bool {
 	if !x.guarded() || !x.server.Guard.Blocked(x.request.Fingerprint) {
 		return false
 	}
-	x.giveUp(ctx, Refusal{Cause: CauseCrashes, NotRun: true, RetryAfter: maxRetryAfter})
+	x.finish(ctx, Refusal{Cause: CauseCrashes, NotRun: true, RetryAfter: maxRetryAfter})
 	return true
 }
 
-// broke tells the guard of a run without a complete answer.
-func (x *exchange) broke(e fleet.Endpoint, suspected bool) {
+// recordBroken tells the guard about a run without a complete response.
+func (x *exchange) recordBroken(e fleet.Endpoint, suspected bool) {
 	if x.guarded() {
 		x.server.Guard.Broke(e, x.request.Fingerprint, fleet.NewCopyID(x.request.ID), suspected)
 	}
 }
 
-// refused tells the guard that no connection could be made.
-func (x *exchange) refused(e fleet.Endpoint) {
+// recordUnreachable tells the guard that no connection could be made.
+func (x *exchange) recordUnreachable(e fleet.Endpoint) {
 	if x.server.Guard != nil {
 		x.server.Guard.Refused(e)
 	}
 }
 
-// served tells the guard of a run with a complete answer.
-func (x *exchange) served(e fleet.Endpoint, began time.Time) {
+// recordServed tells the guard about a run with a complete response.
+func (x *exchange) recordServed(e fleet.Endpoint, began time.Time) {
 	if x.guarded() {
 		x.server.Guard.Served(e, x.request.Fingerprint, began)
 	}
 }
 
-// suspected tells whether the request must not be sent to a second endpoint.
+// suspected reports whether the request must not be sent to a second endpoint.
 func (x *exchange) suspected() bool {
 	return x.guarded() && x.server.Guard.Suspected(x.request.Fingerprint)
 }
 
-// place waits for a place at an endpoint, and for the turn of a request on trial. One that
-// was blocked meanwhile gets a place too; its caller looks for that in any case.
-func (x *exchange) place(ctx context.Context) (fleet.Endpoint, *Refusal) {
+// acquireSlot waits for a slot at an endpoint and, for a suspected request, until this host
+// may run its probe. It may return a slot for a request that was blocked in the meantime, so
+// the caller must check for that.
+func (x *exchange) acquireSlot(ctx context.Context) (fleet.Endpoint, *Refusal) {
 	for {
 		if !x.enter(ctx) {
-			return fleet.Endpoint{}, x.onTrial()
+			return fleet.Endpoint{}, x.refuseSuspected()
 		}
 		e, refusal := x.acquire(ctx)
 		if refusal != nil {
 			return e, refusal
 		}
 		if x.probe == nil && x.suspected() && !x.server.Guard.Blocked(x.request.Fingerprint) {
-			// It was put on trial while it waited for the place.
+			// The request became suspected while it waited for the slot.
 			x.server.Queue.Release(x.request, e.ID, Use{})
 			continue
 		}
 		if x.probe != nil && !x.probe.Await(ctx) {
 			x.server.Queue.Release(x.request, e.ID, Use{})
-			return fleet.Endpoint{}, x.onTrial()
+			return fleet.Endpoint{}, x.refuseSuspected()
 		}
 		return e, nil
 	}
 }
 
-// enter waits until a request on trial may look for a place.
+// enter blocks until the guard lets the request wait for a slot.
 func (x *exchange) enter(ctx context.Context) bool {
 	if !x.guarded() {
 		return true
 	}
-	p, ok := x.server.Guard.Enter(ctx, x.request.Fingerprint, giveUp(x.request))
+	p, ok := x.server.Guard.Enter(ctx, x.request.Fingerprint, holdUntil(x.request))
 	x.probe = p
 	return ok
 }
 
-// leave ends the probe that the request was.
-func (x *exchange) leave(e fleet.Endpoint, outcome ProbeOutcome) {
+// endProbe ends the probe of the request, if it has one.
+func (x *exchange) endProbe(e fleet.Endpoint, outcome ProbeOutcome) {
 	if x.probe != nil {
 		x.probe.Done(e, outcome)
 		x.probe = nil
 	}
 }
 
-// onTrial refuses a request that may not run now. It tells its client to come back when
-// the trial is likely to be over.
-func (x *exchange) onTrial() *Refusal {
-	return &Refusal{Cause: CauseOnTrial, NotRun: true, RetryAfter: trialTime}
+// refuseSuspected returns the refusal of a suspected request that may not run now. The client
+// may retry when the probe of another copy has likely ended.
+func (x *exchange) refuseSuspected() *Refusal {
+	return &Refusal{Cause: CauseOnTrial, NotRun: true, RetryAfter: probeTime}
 }
--- a/pkg/serve/guard_test.go
+++ b/pkg/serve/guard_test.go
@@ -13,45 +13,45 @@
 	"github.com/tealvane/tealvane/pkg/serve"
 )
 
-// watchful is a guard that blocks all once it is told to.
-type watchful struct {
-	mu      sync.Mutex
-	blocks  bool
-	onBreak bool
-	broke   []bool
-	served  int
-	refused int
-	suspect bool
-	probe   probe
+// fakeGuard is a guard that blocks all requests while blocks is set.
+type fakeGuard struct {
+	mu           sync.Mutex
+	blocks       bool
+	blockOnBreak bool
+	broke        []bool
+	served       int
+	refused      int
+	suspect      bool
+	probe        probe
 }
 
-func (g *watchful) Blocked(fleet.Fingerprint) bool {
+func (g *fakeGuard) Blocked(fleet.Fingerprint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.blocks
 }
 
-func (g *watchful) Broke(_ fleet.Endpoint, _ fleet.Fingerprint, _ fleet.CopyID, suspected bool) {
+func (g *fakeGuard) Broke(_ fleet.Endpoint, _ fleet.Fingerprint, _ fleet.CopyID, suspected bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.broke = append(g.broke, suspected)
-	g.blocks = g.blocks || g.onBreak
+	g.blocks = g.blocks || g.blockOnBreak
 }
 
-func (g *watchful) Refused(fleet.Endpoint) {
+func (g *fakeGuard) Refused(fleet.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refused++
 }
 
-func (g *watchful) Enter(context.Context, fleet.Fingerprint, time.Time) (serve.Probe, bool) {
+func (g *fakeGuard) Enter(context.Context, fleet.Fingerprint, time.Time) (serve.Probe, bool) {
 	if !g.suspect {
 		return nil, true
 	}
 	return &g.probe, true
 }
 
-// probe always has its turn, unless it is late.
+// probe is granted its turn unless late is set.
 type probe struct {
 	late     bool
 	outcomes []serve.ProbeOutcome
@@ -61,35 +61,35 @@
 
 func (p *probe) Done(_ fleet.Endpoint, o serve.ProbeOutcome) { p.outcomes = append(p.outcomes, o) }
 
-func (g *watchful) Suspected(fleet.Fingerprint) bool { return g.suspect }
+func (g *fakeGuard) Suspected(fleet.Fingerprint) bool { return g.suspect }
 
-func (g *watchful) Served(fleet.Endpoint, fleet.Fingerprint, time.Time) {
+func (g *fakeGuard) Served(fleet.Endpoint, fleet.Fingerprint, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.served++
 }
 
-func (g *watchful) block() {
+func (g *fakeGuard) block() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.blocks = true
 }
 
-// guarded returns a server with a guard, and a request that it knows again.
-func guarded(w *world, g *watchful, r *serve.Request) *serve.Server {
-	s := newServer(w)
+// newGuardedServer returns a server with a guard, and sets the fingerprint of the request.
+func newGuardedServer(b *fakeBackend, g *fakeGuard, r *serve.Request) *serve.Server {
+	s := newServer(b)
 	s.Guard = g
 	r.Fingerprint = fleet.NewFingerprint("client", "body")
 	return s
 }
 
-// A request is blocked for the endpoints that it has ended. Its client is told so at once, and
-// that it has not run where that is true. One that waited for its model, or whose first
-// try had just ended an endpoint, went on to the next.
+// A blocked request must not be sent to any endpoint, whether it is blocked on arrival, while
+// it waits for its model, or by the end of its first attempt.
 func TestBlockedRequestReachesNoEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// blocked is set from the start; else after a wait, or by the first try's end.
+		// blocked blocks the request on arrival, waits while it waits for its model, and tried
+		// when its first attempt ends.
 		blocked, waits, tried bool
 		promise               bool
 		sends                 int
@@ -101,77 +101,76 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld("e1", "e2")
-				w.does("e1", script{lost: true})
-				w.does("e2", script{lost: true})
+				b := newFakeBackend("e1", "e2")
+				b.setScript("e1", script{lost: true})
+				b.setScript("e2", script{lost: true})
 				if c.waits {
-					w.setReady()
+					b.setReady()
 				}
-				g := &watchful{blocks: c.blocked, onBreak: c.tried}
+				g := &fakeGuard{blocks: c.blocked, blockOnBreak: c.tried}
 				r := request("r", fleet.Stream, true)
-				s := guarded(w, g, r)
+				s := newGuardedServer(b, g, r)
 				out := &sink{}
 				done := make(chan serve.Result)
 				go func() { done <- s.Serve(context.Background(), r, out) }()
 				if c.waits {
 					time.Sleep(time.Second)
 					g.block()
-					w.setReady("e1", "e2")
+					b.setReady("e1", "e2")
 					dispatcher(s).Kick()
 				}
 				result := <-done
 				is.Equal(result.Refusal.Cause, serve.CauseCrashes)
-				is.Equal(out.promises(), c.promise)
-				is.Equal(len(w.sends), c.sends)
-				is.Equal(len(dispatcher(s).Demand()) > 0, !c.blocked) // it asks for its model
+				is.Equal(out.promisesNotRun(), c.promise)
+				is.Equal(len(b.sends), c.sends)
+				is.Equal(len(dispatcher(s).Demand()) > 0, !c.blocked) // a request blocked on arrival is no demand
 			})
 		})
 	}
 }
 
-// Two endpoints have ended under a request. Its host sent each attempt to a second endpoint as
-// the first one ended, so that it had done twice the harm when it was blocked.
-func TestSuspectIsSentOnce(t *testing.T) {
+// A suspected request must not be retried at a second endpoint after the first one ended.
+func TestSuspectedRequestIsSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("e1", "e2")
-		w.does("e1", script{lost: true})
-		w.does("e2", script{lost: true})
+		b := newFakeBackend("e1", "e2")
+		b.setScript("e1", script{lost: true})
+		b.setScript("e2", script{lost: true})
 		r := request("r", fleet.Stream, true)
 		out := &sink{}
-		result := guarded(w, &watchful{suspect: true}, r).Serve(context.Background(), r, out)
-		is.Equal(len(w.sends), 1)
+		result := newGuardedServer(b, &fakeGuard{suspect: true}, r).Serve(context.Background(), r, out)
+		is.Equal(len(b.sends), 1)
 		is.Equal(result.Refusal.Cause, serve.CauseBroken)
-		is.True(!out.promises())
+		is.True(!out.promisesNotRun())
 	})
 }
 
-// A request is blocked as its first try ends an endpoint, while no retry is left in the common
-// budget. Its line said that the budget was used up, and the people on call looked there.
-func TestBlockedRequestSaysSoWithoutABudget(t *testing.T) {
+// A request that is blocked when its first attempt ends is refused as blocked, not for the
+// used-up retry budget.
+func TestBlockTakesPrecedenceOverRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("e1", "e2")
-		w.does("e1", script{lost: true})
-		w.does("e2", script{lost: true})
+		b := newFakeBackend("e1", "e2")
+		b.setScript("e1", script{lost: true})
+		b.setScript("e2", script{lost: true})
 		r := request("r", fleet.Stream, true)
-		s := guarded(w, &watchful{onBreak: true}, r)
+		s := newGuardedServer(b, &fakeGuard{blockOnBreak: true}, r)
 		s.Budget = retry.NewBudget(retry.Limits{Window: 10 * time.Second}, 1)
 		result := s.Serve(context.Background(), r, &sink{})
 		is.Equal(result.Refusal.Cause, serve.CauseCrashes)
 	})
 }
 
-// Runs break off because an endpoint fails, or because their clients leave. The latter tell
-// nothing of the endpoint, and each look at it is a call. A whole answer clears the request.
-func TestGuardHearsHowRunsEnd(t *testing.T) {
+// The guard must not suspect a crash of the endpoint when the client canceled the request. A
+// complete response is recorded as served.
+func TestGuardRecordsRunResults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("e1")
-		w.does("e1", script{lost: true}, script{hang: true}, script{unreachable: true})
-		g := &watchful{}
+		b := newFakeBackend("e1")
+		b.setScript("e1", script{lost: true}, script{hang: true}, script{unreachable: true})
+		g := &fakeGuard{}
 		r := request("r", fleet.Once, false)
-		s := guarded(w, g, r)
+		s := newGuardedServer(b, g, r)
 		s.Serve(context.Background(), r, &sink{})
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
@@ -183,9 +182,9 @@
 	})
 }
 
-// A request is on trial. Its copy runs when its host has the turn, and the host hears what became
-// of it; one whose turn does not come is refused, and gives back its place at the endpoint.
-func TestCopyOnTrialWaitsForItsTurn(t *testing.T) {
+// A probe runs when its host has the turn, and the guard learns its outcome. A probe whose
+// turn does not come is refused and releases its slot.
+func TestProbeWaitsForItsTurn(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		late  bool
@@ -201,39 +200,39 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld("e1")
-				w.does("e1", c.first)
-				g := &watchful{suspect: true, probe: probe{late: c.late}}
+				b := newFakeBackend("e1")
+				b.setScript("e1", c.first)
+				g := &fakeGuard{suspect: true, probe: probe{late: c.late}}
 				r := request("r", fleet.Stream, true)
-				s := guarded(w, g, r)
+				s := newGuardedServer(b, g, r)
 				out := &sink{}
 				result := s.Serve(context.Background(), r, out)
 				is.Equal(g.probe.outcomes, []serve.ProbeOutcome{c.want})
-				is.Equal(len(w.sends), c.sends)
+				is.Equal(len(b.sends), c.sends)
 				is.Equal(result.Refusal != nil, c.cause != "")
 				if c.cause != "" {
 					is.Equal(result.Refusal.Cause, c.cause)
 				}
-				is.Equal(out.promises(), c.late)
+				is.Equal(out.promisesNotRun(), c.late)
 				is.Equal(dispatcher(s).Demand()[0].Inflight, 0)
 			})
 		})
 	}
 }
 
-// meter is an allowance of so many requests.
-type meter struct{ left int }
+// countingAllowance allows a fixed number of requests.
+type countingAllowance struct{ left int }
 
-func (m *meter) Allow(*serve.Request) (bool, time.Duration) {
+func (m *countingAllowance) Allow(*serve.Request) (bool, time.Duration) {
 	m.left--
 	return m.left >= 0, time.Second
 }
 
-func (m *meter) Refund(*serve.Request) { m.left++ }
+func (m *countingAllowance) Refund(*serve.Request) { m.left++ }
 
-// A request beyond its account's allowance is refused at once, also while its model could not
-// be had; one that has certainly not run costs nothing, and one that may have run does.
-func TestAllowanceIsChargedOnce(t *testing.T) {
+// A request over the limit of its account is refused at once. A request that certainly has not
+// run is refunded, one that may have run is not.
+func TestAllowanceIsChargedForRunsOnly(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		script script
@@ -247,27 +246,27 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld("e1")
-				w.does("e1", c.script)
+				b := newFakeBackend("e1")
+				b.setScript("e1", c.script)
 				if !c.ready {
-					w.setReady()
+					b.setReady()
 				}
-				of := func(account string) *serve.Request {
+				requestOf := func(account string) *serve.Request {
 					r := request("r", fleet.Once, false)
 					r.Account = account
 					return r
 				}
-				s := newServer(w)
-				m := &meter{left: 1}
+				s := newServer(b)
+				m := &countingAllowance{left: 1}
 				s.Allowances = m
-				s.Serve(context.Background(), of("a1"), &sink{})
+				s.Serve(context.Background(), requestOf("a1"), &sink{})
 				is.Equal(m.left, c.left)
 				m.left = 0
 				out := &sink{}
-				result := s.Serve(context.Background(), of("a1"), out)
+				result := s.Serve(context.Background(), requestOf("a1"), out)
 				is.Equal(result.Refusal.Cause, serve.CauseAllowance)
 				is.Equal(result.Total, time.Duration(0))
-				is.True(out.promises())
+				is.True(out.promisesNotRun())
 			})
 		})
 	}
--- a/pkg/serve/health.go
+++ b/pkg/serve/health.go
@@ -9,137 +9,137 @@
 )
 
 const (
-	// suspectFor is how long an endpoint that failed a connection is used only
-	// as a last choice: about one heartbeat.
-	suspectFor = 1500 * time.Millisecond
-	// unreachableFor is for how long a failed connection is told to the controller: a
-	// few reports.
-	unreachableFor = 600 * time.Millisecond
-	// fullFor is how long an endpoint that refused for want of places is left
-	// alone: a few times the time in which a place comes free.
-	fullFor = 150 * time.Millisecond
-	// notHeldFor is how long an endpoint is left alone that did not hold a model
-	// which it was believed to hold.
-	notHeldFor = 60 * time.Millisecond
-	// failureWeight is the weight of one result in the moving share of failures.
-	failureWeight = 0.08
-	// failureLimit is the share of failed requests above which an endpoint is
-	// used only as a last choice, beyond the share of all endpoints of the
-	// service together.
-	failureLimit = 0.3
+	// suspectDuration is how long an endpoint is used only as a last resort after a failed
+	// connection.
+	suspectDuration = 1500 * time.Millisecond
+	// unreachableReportDuration is how long a failed connection is reported to the controller.
+	unreachableReportDuration = 600 * time.Millisecond
+	// overloadedCooldown is how long an endpoint gets no further requests for a model after it
+	// rejected one for lack of slots.
+	overloadedCooldown = 150 * time.Millisecond
+	// notLoadedCooldown is how long an endpoint gets no further requests for a model that it
+	// reported not to have loaded. It doubles with each rejection of a request.
+	notLoadedCooldown = 60 * time.Millisecond
+	// failureRateWeight is the weight of one result in the moving average of the failure rate.
+	failureRateWeight = 0.08
+	// failureRateMargin is how far the failure rate of an endpoint may exceed that of its
+	// service before the endpoint is used only as a last resort.
+	failureRateMargin = 0.3
 )
 
-// Health is what a host has seen of endpoints. It is safe for concurrent use.
+// Health is the state of endpoints as observed by this host. It is safe for concurrent use.
 type Health struct {
-	// Signals are what endpoints say of themselves in their answers.
+	// Signals holds the rate limits, pauses and shutdown notices that endpoints send with
+	// their responses.
 	Signals *signals.Table
 
-	mu        sync.Mutex
-	endpoints map[fleet.EndpointID]*condition
-	services  map[string]float64
+	mu                 sync.Mutex
+	endpoints          map[fleet.EndpointID]*endpointState
+	serviceFailureRate map[string]float64
 }
 
-type condition struct {
+type endpointState struct {
 	suspectUntil time.Time
-	// unreachable is when the endpoint last could not be connected to.
-	unreachable time.Time
-	// closed is until when the endpoint is not asked for a model or adapter.
-	closed   map[string]time.Time
-	failures float64
-	// running counts requests in flight, lastByte is when any answer's byte came.
+	// unreachableAt is the time of the last failed connection.
+	unreachableAt time.Time
+	// closedUntil maps a model or adapter to the time until which the endpoint gets no
+	// requests for it.
+	closedUntil map[string]time.Time
+	failureRate float64
+	// running counts requests in flight. lastByte is when the endpoint last sent a byte of any
+	// response.
 	running  int
 	lastByte time.Time
 	load     fleet.Load
 	loadAt   time.Time
 }
 
-// NewHealth returns the state of a host that has seen nothing.
 func NewHealth() *Health {
 	return &Health{
-		Signals:   signals.New(),
-		endpoints: map[fleet.EndpointID]*condition{},
-		services:  map[string]float64{},
+		Signals:            signals.New(),
+		endpoints:          map[fleet.EndpointID]*endpointState{},
+		serviceFailureRate: map[string]float64{},
 	}
 }
 
-func (h *Health) of(id fleet.EndpointID) *condition {
+func (h *Health) state(id fleet.EndpointID) *endpointState {
 	c := h.endpoints[id]
 	if c == nil {
-		c = &condition{closed: map[string]time.Time{}}
+		c = &endpointState{closedUntil: map[string]time.Time{}}
 		h.endpoints[id] = c
 	}
 	return c
 }
 
-// Suspect notes a failed connection.
+// Suspect records a failed connection.
 func (h *Health) Suspect(now time.Time, id fleet.EndpointID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.of(id).suspectUntil = now.Add(suspectFor)
+	h.state(id).suspectUntil = now.Add(suspectDuration)
 }
 
-// Unreachable notes that no connection could be made.
+// Unreachable records that no connection could be made.
 func (h *Health) Unreachable(now time.Time, id fleet.EndpointID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.of(id).unreachable = now
+	h.state(id).unreachableAt = now
 }
 
-// AllUnreachable returns the endpoints that could not be connected to lately.
+// AllUnreachable returns the endpoints to which a connection failed recently.
 func (h *Health) AllUnreachable(now time.Time) []fleet.EndpointID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []fleet.EndpointID
 	for id, c := range h.endpoints {
-		if now.Sub(c.unreachable) < unreachableFor {
+		if now.Sub(c.unreachableAt) < unreachableReportDuration {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Full notes a refusal of what is named. An endpoint refuses in the same way
-// for want of places and for a model that is being loaded or unloaded, so that
-// other models stay open.
-func (h *Health) Full(now time.Time, id fleet.EndpointID, what string) {
+// Full records that an endpoint rejected a request for the named model or adapter. Other
+// models of the endpoint are not affected: endpoints reject in the same way while they load or
+// unload a model.
+func (h *Health) Full(now time.Time, id fleet.EndpointID, name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.of(id).closed[what] = now.Add(fullFor)
+	h.state(id).closedUntil[name] = now.Add(overloadedCooldown)
 }
 
-// NotHeld notes that an endpoint does not hold a model or adapter, for the n-th
-// time in one request.
-func (h *Health) NotHeld(now time.Time, id fleet.EndpointID, what string, n int) {
+// NotHeld records that an endpoint does not have a model or adapter loaded. n is the number of
+// earlier rejections of the same request.
+func (h *Health) NotHeld(now time.Time, id fleet.EndpointID, name string, n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.of(id).closed[what] = now.Add(notHeldFor << n)
+	h.state(id).closedUntil[name] = now.Add(notLoadedCooldown << n)
 }
 
-// Result notes whether a run succeeded.
+// Result records whether a run failed.
 func (h *Health) Result(id fleet.EndpointID, service string, failed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	x := 0.0
+	result := 0.0
 	if failed {
-		x = 1
+		result = 1
 	}
-	c := h.of(id)
-	c.failures += (x - c.failures) * failureWeight
-	h.services[service] += (x - h.services[service]) * failureWeight
+	c := h.state(id)
+	c.failureRate += (result - c.failureRate) * failureRateWeight
+	h.serviceFailureRate[service] += (result - h.serviceFailureRate[service]) * failureRateWeight
 }
 
-// Byte notes that an endpoint has sent something.
+// Byte records that an endpoint has sent bytes of a response.
 func (h *Health) Byte(now time.Time, id fleet.EndpointID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.of(id).lastByte = now
+	h.state(id).lastByte = now
 }
 
-// Load notes the load that an endpoint has stated.
+// Load records the load that an endpoint reported.
 func (h *Health) Load(now time.Time, id fleet.EndpointID, l fleet.Load) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := h.of(id)
+	c := h.state(id)
 	c.load = l
 	c.loadAt = now
 }
@@ -148,21 +148,22 @@
 func (h *Health) Begin(now time.Time, id fleet.EndpointID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := h.of(id)
+	c := h.state(id)
 	if c.running == 0 {
 		c.lastByte = now
 	}
 	c.running++
 }
 
-// End counts a request as ended.
+// End counts a running request of an endpoint as ended.
 func (h *Health) End(id fleet.EndpointID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.of(id).running--
+	h.state(id).running--
 }
 
-// Silent returns for how long an endpoint with running requests has sent nothing.
+// Silent returns for how long an endpoint with running requests has sent no byte. It returns 0
+// for an endpoint without running requests.
 func (h *Health) Silent(now time.Time, id fleet.EndpointID) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -173,22 +174,23 @@
 	return now.Sub(c.lastByte)
 }
 
-// Condition is what routing needs to know of an endpoint.
+// Condition is the state of an endpoint for one model or adapter, as used by routing.
 type Condition struct {
 	Own     int
 	Load    fleet.Load
 	LoadAge time.Duration
 	Suspect bool
-	// Closed endpoints are not asked now.
+	// Closed reports that the endpoint must not get requests for the model or adapter now.
 	Closed bool
-	// Limited endpoints state a request rate of which this host has nothing left now, or have
-	// asked it for a pause; FreeAt is when they take a request again, zero if that is not known.
+	// Limited reports that this host has used up its part of the endpoint's request rate, or
+	// that the endpoint asked for a pause. FreeAt is when the endpoint accepts requests again,
+	// or zero if that is not known.
 	Limited bool
 	FreeAt  time.Time
 }
 
-// Condition returns what is known of an endpoint that has to hold what is named.
-func (h *Health) Condition(now time.Time, id fleet.EndpointID, service, what string) Condition {
+// Condition returns the state of an endpoint for the named model or adapter.
+func (h *Health) Condition(now time.Time, id fleet.EndpointID, service, name string) Condition {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	freeAt, limited := h.Signals.Next(now, id)
@@ -202,12 +204,12 @@
 		Own:     c.running,
 		Load:    c.load,
 		LoadAge: now.Sub(c.loadAt),
-		Suspect: now.Before(c.suspectUntil) || c.failures > h.services[service]+failureLimit || c.running > 0 && now.Sub(c.lastByte) > silentLimit,
-		Closed:  now.Before(c.closed[what]),
+		Suspect: now.Before(c.suspectUntil) || c.failureRate > h.serviceFailureRate[service]+failureRateMargin || c.running > 0 && now.Sub(c.lastByte) > stalledAfter,
+		Closed:  now.Before(c.closedUntil[name]),
 	}
 }
 
-// Prune drops what is known of endpoints that are gone.
+// Prune removes the state of endpoints that are not in live and have no running requests.
 func (h *Health) Prune(live map[fleet.EndpointID]bool) {
 	h.Signals.Retain(live)
 	h.mu.Lock()
--- a/pkg/serve/hold_test.go
+++ b/pkg/serve/hold_test.go
@@ -9,13 +9,13 @@
 	"github.com/tealvane/tealvane/pkg/serve"
 )
 
-func held(objective, budget time.Duration) *serve.Request {
+func requestWithObjective(objective, budget time.Duration) *serve.Request {
 	now := time.Unix(1000, 0)
 	return &serve.Request{Route: fleet.Route{Objective: objective}, Arrived: now, Deadline: now.Add(budget)}
 }
 
 func TestHold(t *testing.T) {
-	r := held(2500*time.Millisecond, 10*time.Second)
+	r := requestWithObjective(2500*time.Millisecond, 10*time.Second)
 	at := func(d time.Duration) time.Time { return r.Arrived.Add(d) }
 	for _, c := range []struct {
 		name string
@@ -37,19 +37,18 @@
 			is.Equal(hold, c.hold)
 			if !hold {
 				remaining := r.Deadline.Sub(c.s.Now)
-				is.True(retryAfter > 0 && retryAfter <= remaining/3) // clients obey up to a third
+				is.True(retryAfter > 0 && retryAfter <= remaining/3) // clients ignore a longer Retry-After
 			}
 		})
 	}
 }
 
-// More models wait than can be loaded in time. Served in the order of arrival,
-// each is loaded just too late; so one that is late already goes behind one that
-// can be in time, unless it would have to be refused first.
-func TestLateRequestsYieldToThoseInTime(t *testing.T) {
+// If more models are requested than can be loaded in time, a request that already missed its
+// objective must yield to one that can still meet it, but not beyond its own deadline.
+func TestLateRequestsYieldToRequestsOnTime(t *testing.T) {
 	is := is.New(t)
-	old := held(2500*time.Millisecond, 10*time.Second)
-	fresh := held(2500*time.Millisecond, 10*time.Second)
+	old := requestWithObjective(2500*time.Millisecond, 10*time.Second)
+	fresh := requestWithObjective(2500*time.Millisecond, 10*time.Second)
 	fresh.Arrived = old.Arrived.Add(2 * time.Second)
 	fresh.Deadline = fresh.Arrived.Add(10 * time.Second)
 	now := fresh.Arrived
@@ -61,13 +60,11 @@
 	is.True(oldDue.Before(old.Deadline))
 }
 
-// A user with fifteen seconds asks for a stream whose model is not loaded, and gets
-// nothing. The request was held for 55% of the fifteen seconds; but clients of
-// such streams leave after 3.2 s without a first event, so that all of them had
-// gone before they were told to come back.
-func TestStreamIsRefusedBeforeItsClientLeaves(t *testing.T) {
+// A stream must be refused before its client disconnects without a first event, which may be
+// well before its deadline.
+func TestStreamIsRefusedBeforeClientDisconnects(t *testing.T) {
 	is := is.New(t)
-	r := held(500*time.Millisecond, 15*time.Second)
+	r := requestWithObjective(500*time.Millisecond, 15*time.Second)
 	r.FirstBy = r.Arrived.Add(3200 * time.Millisecond)
 	_, _, hold := serve.Hold(r, serve.Situation{Now: r.Arrived.Add(time.Second)})
 	is.True(hold)
@@ -75,7 +72,7 @@
 	is.True(!hold)
 	is.True(retryAfter > 0)
 	_, _, hold = serve.Hold(r, serve.Situation{Now: r.Arrived, FarUntil: r.Arrived.Add(6 * time.Second)})
-	is.True(!hold) // a model from the weight store comes after the client has left
+	is.True(!hold) // the load ends after the client disconnects
 	due, _ := serve.Due(r, r.Arrived.Add(time.Second))
 	is.True(due.Before(r.FirstBy))
 }
--- a/pkg/serve/queue.go
+++ b/pkg/serve/queue.go
@@ -7,54 +7,53 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// Queue gives requests places at endpoints: it admits or refuses them, lets them
-// wait, and chooses the replica. What may be sent again, and what a refusal may
-// promise, is decided by Server. Implementations are safe for concurrent use.
+// Queue assigns requests to slots at endpoints: it admits or refuses them, lets them wait, and
+// chooses the endpoint. Server decides whether a request may be sent again and what a refusal
+// promises. Implementations are safe for concurrent use.
 type Queue interface {
-	// Arrive counts a request that has come in.
+	// Arrive counts a received request.
 	Arrive(r *Request)
-	// Acquire waits for a place at an endpoint. The place must be given back with
-	// Release. ctx ends when the client has gone or its time is over.
+	// Acquire blocks until a slot at an endpoint is granted, the request is refused, or ctx is
+	// done. The caller must return the slot with Release.
 	Acquire(ctx context.Context, r *Request, t Tried) (fleet.Endpoint, *Refusal)
-	// Release gives a place back.
+	// Release returns a slot.
 	Release(r *Request, e fleet.EndpointID, u Use)
-	// Began notes that an endpoint has begun to answer, some time after it was sent
-	// the request.
+	// Began records how long after it was sent a request got the first byte of its response.
 	Began(r *Request, after time.Duration)
-	// HasOther tells whether an endpoint other than e could take the request now.
+	// HasOther reports whether an endpoint other than e could serve the request now.
 	HasOther(r *Request, e fleet.EndpointID) bool
-	// ServiceTime is the usual time of a request of a service.
+	// ServiceTime returns the moving average of the service time of a service.
 	ServiceTime(service string) time.Duration
 }
 
-// Tried is what has become of a request so far.
+// Tried describes the earlier attempts of a request.
 type Tried struct {
-	// At tells at which endpoints the request was tried.
+	// At holds the endpoints to avoid.
 	At Avoidance
-	// Begun tells whether a part of the answer went to the client.
+	// Begun reports whether a part of the response was sent to the client.
 	Begun bool
 }
 
-// Avoidance tells how far endpoints have to be avoided.
+// Avoidance maps endpoints to how strictly a request must avoid them.
 type Avoidance map[fleet.EndpointID]Avoid
 
-// Avoid is how far one endpoint has to be avoided; the zero value is not at all.
+// Avoid is how strictly a request must avoid an endpoint. The zero value means not at all.
 type Avoid int
 
 const (
-	// LastChoice endpoints have failed the request; another is better, but one
-	// that alone holds the model may be asked again.
+	// LastChoice endpoints failed the request and are used only if no other endpoint is
+	// available.
 	LastChoice Avoid = iota + 1
-	// Never marks that another endpoint has the address.
+	// Never excludes an endpoint, because another endpoint took over its address.
 	Never
 )
 
-// Use is how a place was used.
+// Use is the result of using a slot.
 type Use struct {
-	// Took is how long a successful run took, zero for any other.
+	// Took is the duration of a successful run, or zero.
 	Took time.Duration
-	// Failed uses ended by a fault of the endpoint, also if it only refused.
+	// Failed reports that the endpoint failed or rejected the request.
 	Failed bool
-	// Unreachable endpoints could not be connected to.
+	// Unreachable reports that no connection to the endpoint could be made.
 	Unreachable bool
 }
--- a/pkg/serve/limited_test.go
+++ b/pkg/serve/rate_limit_test.go
@@ -12,37 +12,36 @@
 	"github.com/tealvane/tealvane/pkg/signals"
 )
 
-// The only endpoint with a model states a request rate, and this host has no part of it. Its
-// request waited in vain until its client had gone; now it is refused in time to come back, and
-// the model counts as missing, so that another endpoint loads it.
-func TestRequestForALimitedEndpointOnly(t *testing.T) {
+// If the only endpoint with the model is rate limited for this host, a request must be refused
+// while its client can still retry.
+func TestRequestIsRefusedIfAllEndpointsAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a")
-		s := newServer(w)
+		b := newFakeBackend("a")
+		s := newServer(b)
 		others := []string{"h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9"}
 		s.Health.Signals.SetHosts("h0", others)
-		slow := 0.0
-		s.Health.Signals.Observe(time.Now(), "a", signals.Answer{Rate: &slow}, time.Now(), true)
+		zeroRate := 0.0
+		s.Health.Signals.Observe(time.Now(), "a", signals.Answer{Rate: &zeroRate}, time.Now(), true)
 		var out sink
 		got := s.Serve(context.Background(), request("r", fleet.Idempotent, false), &out)
 		is.Equal(got.Outcome(), "refused_endpoint_limit")
-		is.Equal(len(w.runs["r"]), 0)
+		is.Equal(len(b.runs["r"]), 0)
 		is.True(got.Total < 4*time.Second)
 		is.True(out.refusal.RetryAfter > 0)
 	})
 }
 
-// One of two endpoints states a rate: the other takes what is beyond it.
-func TestRequestsGoToEndpointsWithoutALimit(t *testing.T) {
+// Requests beyond the rate limit of one endpoint must go to the other.
+func TestExcessRequestsGoToUnlimitedEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a", "b")
-		s := newServer(w)
+		b := newFakeBackend("a", "b")
+		s := newServer(b)
 		rate := 2.0
 		const requests = 100
 		for range requests {
-			w.scripts["a"] = append(w.scripts["a"], script{says: signals.Answer{Rate: &rate}})
+			b.scripts["a"] = append(b.scripts["a"], script{signals: signals.Answer{Rate: &rate}})
 		}
 		for i := range requests {
 			var out sink
@@ -51,7 +50,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		atLimited := 0
-		for _, send := range w.sends {
+		for _, send := range b.sends {
 			if send.Endpoint.ID == "a" {
 				atLimited++
 			}
@@ -60,18 +59,17 @@
 	})
 }
 
-// An endpoint turns a request away and asks for a pause, but does not say that it has not run it.
-// Its answer cannot be passed on, and the pause was lost with it.
-func TestPauseOfAnAnswerThatCannotBePassedOn(t *testing.T) {
+// A pause requested with a response that cannot be forwarded must take effect.
+func TestPauseOfUnusableResponseTakesEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a")
-		s := newServer(w)
-		const pause = 3 * time.Second // longer than a request is held without a reason
-		w.does("a", script{pause: pause})
+		b := newFakeBackend("a")
+		s := newServer(b)
+		const pause = 3 * time.Second // longer than a request waits otherwise
+		b.setScript("a", script{pause: pause})
 		var out sink
 		s.Serve(context.Background(), request("r1", fleet.Once, false), &out)
-		is.True(!out.promises())
+		is.True(!out.promisesNotRun())
 		start := time.Now()
 		time.AfterFunc(pause, dispatcher(s).Kick)
 		var next sink
@@ -81,13 +79,12 @@
 	})
 }
 
-// The only other endpoint has asked for a pause. A try that hangs was given up for it, and the
-// request waited for the end of the pause instead.
-func TestTryIsNotGivenUpForAnEndpointInAPause(t *testing.T) {
+// An endpoint that asked for a pause does not count as an alternative for a stalled attempt.
+func TestPausedEndpointIsNoAlternative(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a", "b")
-		s := newServer(w)
+		b := newFakeBackend("a", "b")
+		s := newServer(b)
 		s.Health.Signals.Observe(time.Now(), "b", signals.Answer{Pause: time.Minute}, time.Now(), false)
 		r := request("r", fleet.Idempotent, false)
 		is.True(!s.Queue.HasOther(r, "a"))
@@ -95,14 +92,14 @@
 	})
 }
 
-// An address is that of another endpoint now, which leaves. What it says was taken for the word of
-// the one that was meant.
-func TestAnotherEndpointSpeaksForItself(t *testing.T) {
+// Signals from an endpoint that took over another's address must not be attributed to the
+// other.
+func TestSignalsOfWrongEndpointAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a")
-		s := newServer(w)
-		w.does("a", script{verdict: serve.Elsewhere, says: signals.Answer{Leaving: true}})
+		b := newFakeBackend("a")
+		s := newServer(b)
+		b.setScript("a", script{verdict: serve.Elsewhere, signals: signals.Answer{Leaving: true}})
 		var out sink
 		s.Serve(context.Background(), request("r", fleet.Once, false), &out)
 		is.Equal(len(s.Health.Signals.Leaving()), 0)
--- a/pkg/serve/request.go
+++ b/pkg/serve/request.go
@@ -1,6 +1,6 @@
-// Package serve carries one typed request from admission over the choice of an
-// endpoint to the end of its answer. It knows no wire format: a door decodes
-// into Request and encodes from Sink, a Backend speaks to endpoints.
+// Package serve runs one typed request from admission through the choice of an endpoint to the
+// end of its response. It is independent of wire formats: a protocol handler decodes requests
+// into Request and encodes responses from Sink, and a Backend talks to endpoints.
 package serve
 
 import (
@@ -13,51 +13,50 @@
 	"github.com/tealvane/tealvane/pkg/signals"
 )
 
-// Request is one request of a client, sent once.
+// Request is one attempt of a client.
 type Request struct {
 	// ID is the client's ID of this attempt.
 	ID    string
 	Route fleet.Route
-	// Service was chosen among the targets of the route.
+	// Service is one of the targets of the route.
 	Service string
 	// Arrived is when the request was read.
 	Arrived time.Time
-	// Deadline is when the client or the route gives up.
+	// Deadline is the earlier of the client's and the route's deadline.
 	Deadline time.Time
-	// ClientDeadline is when the client gives up; endpoints are told of it.
+	// ClientDeadline is the client's deadline, which is sent to endpoints.
 	ClientDeadline time.Time
-	// FirstBy is when a client that has got no part of the answer leaves, which may
-	// be long before its deadline; zero if only the deadline counts.
+	// FirstBy is when the client disconnects if it has received no part of the response. It is
+	// zero if only the deadline applies.
 	FirstBy time.Time
-	// Account is the client account, empty where callers need none; Allowance is what it may
-	// ask, and Cost what the request counts of it.
+	// Account is the client account, or empty if callers need none. Allowance is its rate
+	// limit, and Cost the charge of the request.
 	Account   string
 	Allowance fleet.Allowance
 	Cost      float64
-	// Model is empty for plain services; Adapter is empty for the model itself.
+	// Model is empty for services without models. Adapter is empty for the base model.
 	Model   string
 	Adapter string
-	// Fingerprint is the same each time that the request comes.
+	// Fingerprint is the same for all repeats of the request.
 	Fingerprint fleet.Fingerprint
-	// Affinity names what the request shares with others, empty for nothing: an endpoint
-	// that has read it for another request begins sooner.
+	// Affinity identifies a prompt prefix shared with other requests, or is empty. An endpoint
+	// that has processed the prefix responds sooner.
 	Affinity string
-	// StartOnly marks that Deadline bounds the wait for the first part of the
-	// answer only; what has begun in time may end later.
+	// StartOnly means that Deadline applies to the first byte of the response only.
 	StartOnly bool
-	// LastEvent is the ID of the last event that the client has, empty at the start.
+	// LastEvent is the ID of the last event that the client received before this attempt, or
+	// empty.
 	LastEvent string
-	// Wire is what the door and the backend share; this package does not look at it.
+	// Wire is shared by the protocol handler and the backend. This package does not use it.
 	Wire any
 }
 
-// Need is what an endpoint must hold for the request.
+// Need returns what an endpoint must have loaded for the request.
 func (r *Request) Need() Need {
 	return Need{Service: r.Service, Model: r.Model, Adapter: r.Adapter}
 }
 
-// BeginBy is when the answer has to begin at the latest: after it the client has
-// gone.
+// BeginBy returns the time at which the client disconnects if the response has not begun.
 func (r *Request) BeginBy() time.Time {
 	if r.FirstBy.IsZero() || r.Deadline.Before(r.FirstBy) {
 		return r.Deadline
@@ -65,69 +64,69 @@
 	return r.FirstBy
 }
 
-// Aim is when the answer has to begin to be in time.
+// Aim returns the time by which the response must begin to meet the objective.
 func (r *Request) Aim() time.Time { return r.Arrived.Add(r.Route.Objective) }
 
-// Verdict tells what an answer of an endpoint means for its request.
+// Verdict classifies the response of an endpoint.
 type Verdict int
 
-// The verdicts.
 const (
-	// Answered requests have run, with success or failure.
+	// Answered means that the request has run, successfully or not.
 	Answered Verdict = iota
-	// Full endpoints have not run the request and are short of places.
+	// Full means that the endpoint did not run the request for lack of slots.
 	Full
-	// NotHeld endpoints have not run the request because they do not hold the
-	// model or adapter.
+	// NotHeld means that the endpoint did not run the request because it does not have the
+	// model or adapter loaded.
 	NotHeld
-	// Elsewhere means that another incarnation has the address; nothing ran.
+	// Elsewhere means that another endpoint has the address. The request did not run.
 	Elsewhere
 )
 
-// Answer is an endpoint's answer; its body must be closed.
+// Answer is the response of an endpoint. Its body must be closed.
 type Answer struct {
 	Verdict Verdict
 	Status  int
-	// Load is the endpoint's load if the answer states it.
+	// Load is the endpoint's load, or nil if the response does not report it.
 	Load *fleet.Load
-	// Signals are what the endpoint says of itself beside its answer.
+	// Signals holds the rate limit, pause and shutdown notice sent with the response.
 	Signals signals.Answer
-	// Body ends with io.EOF after the whole body and with any other error before.
+	// Body returns io.EOF only at the end of the complete body.
 	Body io.ReadCloser
-	// Head is what door and backend share of the answer.
+	// Head is shared by the protocol handler and the backend.
 	Head any
 }
 
-// Failed tells whether the endpoint ran the request and could not answer it.
+// Failed reports whether the endpoint ran the request and returned a server error.
 func (a *Answer) Failed() bool { return a.Status >= 500 }
 
 var (
-	// ErrNoConfig means that the host knows no configuration yet.
+	// ErrNoConfig is returned while the host has not received a configuration.
 	ErrNoConfig = errors.New("no configuration is known yet")
-	// ErrNoRoute means that the configuration in force has no route for a request.
+	// ErrNoRoute is returned if the configuration in force has no route for a request.
 	ErrNoRoute = errors.New("no route")
-	// ErrNoAccount means that the configuration in force has no account for a request's key.
+	// ErrNoAccount is returned if the configuration in force has no account for a request's
+	// key.
 	ErrNoAccount = errors.New("no account has this key")
 )
 
-// Admission is what the configuration in force says of a request.
+// Admission is the part of the configuration in force that applies to a request.
 type Admission struct {
-	// Route has the priority of the account if that states one.
+	// Route has the priority of the account if the account sets one.
 	Route fleet.Route
-	// Service is chosen among the targets of the route.
+	// Service is one of the targets of the route.
 	Service string
-	// Account has no name where callers need no key.
+	// Account has an empty name if callers need no key.
 	Account fleet.Account
 }
 
-// ErrNotSent marks errors of a Backend after which nothing has been sent.
+// ErrNotSent marks errors of a Backend that occurred before any byte was sent.
 var ErrNotSent = errors.New("request was not sent")
 
-// ErrUnreachable marks errors of a Backend that could not connect to the endpoint;
-// they are marked ErrNotSent too.
+// ErrUnreachable marks errors of a Backend that could not connect to the endpoint. They are
+// also marked ErrNotSent.
 var ErrUnreachable = errors.New("endpoint is not reachable")
 
-// UnusableError is an answer that cannot be passed on. The request may have run.
+// UnusableError is returned for a response that cannot be forwarded. The request may have run.
 type UnusableError struct {
 	Signals signals.Answer
 	Cause   error
@@ -139,85 +138,86 @@
 // Unwrap implements errors.Wrapper.
 func (e *UnusableError) Unwrap() error { return e.Cause }
 
-// Send says how a request goes to an endpoint.
+// Send holds the parameters of sending a request to an endpoint.
 type Send struct {
 	Endpoint fleet.Endpoint
-	// Remaining is the time that the client still waits.
+	// Remaining is the time until the client's deadline.
 	Remaining time.Duration
-	// LastEvent is the ID of the last event that the client has.
+	// LastEvent is the ID of the last event that the client received.
 	LastEvent string
-	// Urgency is how soon the endpoint takes the request up among those that wait there,
-	// 0 first.
+	// Urgency is the priority of the request among those that wait at the endpoint, where 0 is
+	// the highest.
 	Urgency int
 }
 
 // Backend sends requests to endpoints.
 type Backend interface {
-	// Send returns the head of the answer. An error marked ErrNotSent means that
-	// nothing was sent, a *Refusal that nothing may be sent at all; after any other
-	// the request may have run. Cancelling ctx makes the endpoint stop.
+	// Send returns the head of the response. An error marked ErrNotSent means that nothing was
+	// sent, and a *Refusal that nothing may be sent at all. After any other error the request
+	// may have run. Canceling ctx makes the endpoint stop.
 	Send(ctx context.Context, r *Request, s Send) (*Answer, error)
-	// Run asks an endpoint what has become of a request that was sent to it.
+	// Run queries an endpoint for the state of a request that was sent to it.
 	Run(ctx context.Context, r *Request, e fleet.Endpoint) (Run, error)
 }
 
-// Run is what an endpoint says of a request, as of a few hundred milliseconds ago.
+// Run is the state of a request as reported by an endpoint. It may lag behind by a few hundred
+// milliseconds.
 type Run struct {
-	// Held tells whether it waits or runs there, as far as the endpoint tells.
+	// Held reports whether the request waits or runs at the endpoint.
 	Held bool
-	// Begun tells whether it has made a part of the answer.
+	// Begun reports whether the endpoint has produced a part of the response.
 	Begun bool
 }
 
-// Cause is why a request was refused or failed.
+// Cause is the reason why a request was refused or failed.
 type Cause string
 
-// The causes.
 const (
 	CauseNoConfig   Cause = "no_config"
 	CauseNoEndpoint Cause = "no_endpoint"
 	CauseNoRoom     Cause = "no_room"
 	CauseNotLoaded  Cause = "not_loaded"
 	CauseNoModel    Cause = "no_such_model"
-	// CauseLimited is that the endpoints which hold the model state request rates that are
-	// used up, or have asked for a pause.
+	// CauseLimited means that all endpoints with the model loaded are rate limited or asked
+	// for a pause.
 	CauseLimited    Cause = "endpoint_limit"
 	CauseDeadline   Cause = "deadline"
 	CauseClientGone Cause = "client_gone"
 	CauseBroken     Cause = "endpoint_failed"
 	CauseBudget     Cause = "retry_budget"
 	CauseStopping   Cause = "stopping"
-	// CauseCrashes is that endpoints have ended under the request each time.
+	// CauseCrashes means that runs of the request repeatedly ended with a crash of their
+	// endpoint.
 	CauseCrashes Cause = "crashes_endpoints"
-	// CauseAllowance is that the account has used up what it may ask.
+	// CauseAllowance means that the account has used up its rate limit.
 	CauseAllowance Cause = "allowance"
-	// CauseOnTrial is that endpoints have ended under the request, and another copy of it is
-	// tried first.
+	// CauseOnTrial means that the request is suspected of crashing endpoints and another copy
+	// of it runs first as a probe.
 	CauseOnTrial Cause = "on_trial"
 )
 
-// Refusal is a final answer of this host itself.
+// Refusal is a final response of this host itself.
 type Refusal struct {
 	Cause Cause
 	// NotRun promises that the request has not run and never will.
 	NotRun bool
-	// RetryAfter is when the client may come back; zero states none.
+	// RetryAfter is the time after which the client may retry, or zero for none.
 	RetryAfter time.Duration
-	// Detail is what the door says beyond the cause, nil for nothing.
+	// Detail is added to the cause in the response to the client. It may be nil.
 	Detail error
 }
 
 // Error implements error.
 func (r *Refusal) Error() string { return string(r.Cause) }
 
-// Sink takes the answer to a request.
+// Sink receives the response to a request.
 type Sink interface {
-	// Begin sends the head of an endpoint's answer.
+	// Begin sends the head of an endpoint's response.
 	Begin(a *Answer)
-	// Write sends bytes of the body at once.
+	// Write sends bytes of the body without buffering.
 	Write(p []byte) error
-	// Abort ends the connection so that the answer does not look complete.
+	// Abort closes the connection so that the response does not look complete.
 	Abort()
-	// Refuse sends a final answer of this host. Nothing was begun before.
+	// Refuse sends a final response of this host. It must not be called after Begin.
 	Refuse(r Refusal)
 }
--- a/pkg/serve/result.go
+++ b/pkg/serve/result.go
@@ -6,7 +6,8 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// Outcome names how a request ended: a status, a cause, or both.
+// Outcome returns the label of the result: the status of the response, or the cause of a
+// refusal or failure.
 func (r Result) Outcome() string {
 	switch {
 	case r.Refusal != nil && r.Refusal.NotRun:
@@ -18,7 +19,7 @@
 	}
 }
 
-// LogAttrs is the request's line in the log: what was decided, and by what.
+// LogAttrs returns the log attributes of the result.
 func (r Result) LogAttrs() []any {
 	return []any{
 		"id", r.Request.ID,
--- /dev/null
+++ b/pkg/serve/retry_budget_test.go
@@ -0,0 +1,83 @@
+package serve_test
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+	"github.com/tealvane/tealvane/pkg/fleet"
+	"github.com/tealvane/tealvane/pkg/retry"
+	"github.com/tealvane/tealvane/pkg/serve"
+)
+
+// An attempt at a slow endpoint must not be abandoned if the retry budget is used up, since no
+// other attempt could follow.
+func TestAttemptIsNotAbandonedWithoutRetryBudget(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		b := newFakeBackend("a", "b")
+		slow := script{latency: 1300 * time.Millisecond, events: 3, broken: -1}
+		b.setScript("a", slow)
+		b.setScript("b", slow)
+		b.status = serve.Run{} // The report of the endpoint lags behind, too.
+		s := newServer(b)
+		s.Budget = retry.NewBudget(retry.Limits{Window: 10 * time.Second}, 1)
+		var out sink
+		got := s.Serve(t.Context(), request("r", fleet.Stream, true), &out)
+		is.True(got.Complete)
+		is.Equal(len(b.sends), 1)
+	})
+}
+
+// An abandoned attempt and the attempt that follows it must take one retry together.
+func TestAbandonedAttemptTakesOneRetry(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		b := newFakeBackend("a")
+		b.status = serve.Run{}
+		b.setScript("a", script{hang: true}, script{events: 3, broken: -1})
+		s := newServer(b)
+		s.Budget = retry.NewBudget(retry.Limits{Extra: 1, Window: 10 * time.Second}, 1)
+		var out sink
+		got := s.Serve(t.Context(), request("r", fleet.Stream, true), &out)
+		is.True(got.Complete)
+		is.Equal(len(b.sends), 2)
+	})
+}
+
+// A rejected request must wait for the retry budget instead of being refused at once.
+func TestRejectedRequestWaitsForRetryBudget(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		b := newFakeBackend("a")
+		b.setScript("a", script{verdict: serve.Full}, script{events: 3, broken: -1})
+		s := newServer(b)
+		s.Budget = retry.NewBudget(retry.Limits{Extra: 1, Window: time.Second}, 1)
+		is.True(s.Budget.Take(time.Now(), "s")) // taken by another request
+		var out sink
+		got := s.Serve(t.Context(), request("r", fleet.Once, false), &out)
+		is.True(got.Complete)
+		is.Equal(got.Runs, 1)
+		is.True(got.Waited < time.Second)
+	})
+}
+
+// If the retry budget stays used up, a rejected request must be refused when its wait ends,
+// with a promise that it has not run.
+func TestWaitForRetryBudgetEnds(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		b := newFakeBackend("a")
+		b.setScript("a", script{verdict: serve.Full})
+		s := newServer(b)
+		s.Budget = retry.NewBudget(retry.Limits{Window: time.Second}, 1)
+		start := time.Now()
+		var out sink
+		got := s.Serve(t.Context(), request("r", fleet.Once, false), &out)
+		is.Equal(got.Refusal.Cause, serve.CauseBudget)
+		is.True(out.promisesNotRun())
+		is.Equal(len(b.sends), 1)
+		is.True(time.Since(start) < 3*time.Second)
+	})
+}
--- a/pkg/serve/choose.go
+++ b/pkg/serve/select_endpoint.go
@@ -9,41 +9,40 @@
 	"github.com/tealvane/tealvane/pkg/routing"
 )
 
-// overcommit is the part of an endpoint's places by which requests may
-// exceed them: a place that comes free is taken without a round trip.
-const overcommit = 0.25
+// slotOvercommit is the share of an endpoint's slots by which requests may exceed them, so
+// that a freed slot is filled without a round trip.
+const slotOvercommit = 0.25
 
-// pick reserves a place. The shard is locked. Endpoints that failed lately, or
-// failed this request, are asked only when no other has room: of two random
-// choices both may fall on such a one.
+// pick reserves a slot at an endpoint. It must be called with s.mu held. Endpoints that failed
+// recently, or that failed this request, are used only if no other endpoint has a free slot.
 func (d *Dispatcher) pick(now time.Time, s *shard, w *waiter) (fleet.Endpoint, bool) {
-	var sound, suspect []option
+	var healthy, suspect []option
 	for _, e := range d.placement.Find(now, w.need).Ready {
 		c := d.health.Condition(now, e.ID, w.need.Service, w.need.What())
 		if c.Closed || c.Limited || w.avoid[e.ID] == Never {
 			continue
 		}
-		o := option{e, candidate(e, c, s.service)}
+		o := option{e, candidate(e, c, s.serviceTime)}
 		if c.Suspect || w.avoid[e.ID] == LastChoice {
 			suspect = append(suspect, o)
 		} else {
-			sound = append(sound, o)
+			healthy = append(healthy, o)
 		}
 	}
 	key := w.request.Affinity
-	e, ok := d.choose(sound, s.service, key)
+	e, ok := d.choose(healthy, s.serviceTime, key)
 	if !ok {
-		e, ok = d.choose(suspect, s.service, key)
+		e, ok = d.choose(suspect, s.serviceTime, key)
 	}
 	if !ok || !d.health.Signals.Use(now, e.ID) {
 		return fleet.Endpoint{}, false
 	}
 	d.health.Begin(now, e.ID)
-	s.useOf(w.need).inflight++
+	s.statsOf(w.need).inflight++
 	return e, true
 }
 
-// option is an endpoint that may take a request.
+// option is an endpoint that may serve a request.
 type option struct {
 	endpoint  fleet.Endpoint
 	candidate routing.Candidate
@@ -67,16 +66,16 @@
 	now := d.now()
 	for _, e := range d.placement.Find(now, n).Ready {
 		c := d.health.Condition(now, e.ID, n.Service, n.What())
-		if e.ID != id && !c.Closed && !c.Limited && !c.Suspect && c.Own < candidate(e, c, startService).Limit {
+		if e.ID != id && !c.Closed && !c.Limited && !c.Suspect && c.Own < candidate(e, c, initialServiceTime).Limit {
 			return true
 		}
 	}
 	return false
 }
 
-// freed tells whether all of some endpoints are limited, and when the first of them takes a
-// request again, zero if that is not known.
-func (d *Dispatcher) freed(now time.Time, n Need, ready []fleet.Endpoint) (at time.Time, limited bool) {
+// limitedUntil reports whether all the given endpoints are rate limited, and returns when the
+// first of them accepts requests again, or the zero time if that is not known.
+func (d *Dispatcher) limitedUntil(now time.Time, n Need, ready []fleet.Endpoint) (at time.Time, limited bool) {
 	for _, e := range ready {
 		c := d.health.Condition(now, e.ID, n.Service, n.What())
 		if !c.Limited {
@@ -89,18 +88,19 @@
 	return at, len(ready) > 0
 }
 
-// candidate bounds this host's requests by what the endpoint's last stated load
-// leaves of its places. The statement fades with the service time.
+// candidate limits this host's requests to the slots that other hosts leave free according to
+// the endpoint's last load report. The weight of the report decays with its age relative to
+// the service time.
 func candidate(e fleet.Endpoint, c Condition, service time.Duration) routing.Candidate {
 	others := c.Load.Running + c.Load.Waiting
-	fresh := math.Exp(-float64(c.LoadAge) / float64(service))
-	places := float64(e.Slots) * (1 + overcommit)
+	weight := math.Exp(-float64(c.LoadAge) / float64(service))
+	slots := float64(e.Slots) * (1 + slotOvercommit)
 	return routing.Candidate{
 		Replica: string(e.ID),
 		Zone:    e.Zone,
 		Own:     c.Own,
 		Others:  others,
 		Age:     c.LoadAge,
-		Limit:   max(1, int(places-float64(others)*fresh)),
+		Limit:   max(1, int(slots-float64(others)*weight)),
 	}
 }
--- a/pkg/serve/serve_test.go
+++ b/pkg/serve/serve_test.go
@@ -17,76 +17,75 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, 300, 40) }
 
-// A sanction screen is sent, its endpoint runs it, and the answer is lost. Sent
-// once more, the screen would stand on record with two verdicts; called "not
-// run", its client would send it once more itself.
-func TestOnceIsNeverSentTwiceNorDenied(t *testing.T) {
+// A request that may run once must not be sent again after its response was lost, and its
+// client must not be told that it has not run.
+func TestNonRepeatableRequestIsNeverResent(t *testing.T) {
 	for _, s := range []script{{lost: true}, {hang: true}, {status: 500}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld("a", "b")
-			w.does("a", s)
-			w.does("b", s)
+			b := newFakeBackend("a", "b")
+			b.setScript("a", s)
+			b.setScript("b", s)
 			var out sink
-			newServer(w).Serve(context.Background(), request("r", fleet.Once, false), &out)
-			is.Equal(len(w.runs["r"]), 1)
-			is.True(!out.promises())
+			newServer(b).Serve(context.Background(), request("r", fleet.Once, false), &out)
+			is.Equal(len(b.runs["r"]), 1)
+			is.True(!out.promisesNotRun())
 		})
 	}
 }
 
-// The same loss of a request that may run again is hidden from its client.
-func TestIdempotentRunsElsewhere(t *testing.T) {
+// A lost response of an idempotent request must be hidden from its client by a run at another
+// endpoint.
+func TestIdempotentRequestIsRetriedElsewhere(t *testing.T) {
 	for _, s := range []script{{lost: true}, {status: 500}, {verdict: serve.Full}, {notSent: true}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld("a", "b")
-			w.does("a", s)
-			w.does("b", s)
-			w.scripts["b"] = nil
+			b := newFakeBackend("a", "b")
+			b.setScript("a", s)
+			b.setScript("b", s)
+			b.scripts["b"] = nil
 			var out sink
-			newServer(w).Serve(context.Background(), request("r", fleet.Idempotent, false), &out)
+			newServer(b).Serve(context.Background(), request("r", fleet.Idempotent, false), &out)
 			is.Equal(out.status, 200)
-			is.Equal(out.body.String(), "r from "+string(w.runs["r"][len(w.runs["r"])-1]))
+			is.Equal(out.body.String(), "r from "+string(b.runs["r"][len(b.runs["r"])-1]))
 		})
 	}
 }
 
-// All endpoints fail a lookup. The client must get the endpoint's own failure
-// and not wait for a third try that the route does not allow.
-func TestFailedAnswerIsPassedOn(t *testing.T) {
+// If all endpoints fail, the client must get the response of an endpoint, without more
+// attempts than the route allows.
+func TestFailedResponseIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a", "b", "c")
+		b := newFakeBackend("a", "b", "c")
 		for _, id := range []string{"a", "b", "c"} {
-			w.does(id, script{status: 500})
+			b.setScript(id, script{status: 500})
 		}
 		var out sink
-		r := newServer(w).Serve(context.Background(), request("r", fleet.Idempotent, false), &out)
+		r := newServer(b).Serve(context.Background(), request("r", fleet.Idempotent, false), &out)
 		is.Equal(out.status, 500)
-		is.Equal(len(w.runs["r"]), 2)
+		is.Equal(len(b.runs["r"]), 2)
 		is.True(r.Complete)
 	})
 }
 
-// A stream breaks within an event. The client must see each event once and
-// whole, in order, in one answer; the half event must not be joined with the
-// next run's bytes.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// A stream that breaks within an event must be resumed elsewhere so that the client gets each
+// event once, complete and in order.
+func TestBrokenStreamIsResumedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a", "b")
+		b := newFakeBackend("a", "b")
 		whole := script{events: 5, broken: -1}
-		w.does("a", script{events: 5, broken: 2})
-		w.does("b", script{events: 5, broken: 2})
-		first := newServer(w)
+		b.setScript("a", script{events: 5, broken: 2})
+		b.setScript("b", script{events: 5, broken: 2})
+		s := newServer(b)
 		var out sink
 		go func() {}()
-		w.scripts["b"] = append(w.scripts["b"], whole)
-		w.scripts["a"] = append(w.scripts["a"], whole)
+		b.scripts["b"] = append(b.scripts["b"], whole)
+		b.scripts["a"] = append(b.scripts["a"], whole)
 		req := request("r", fleet.Stream, true)
 		req.Route.Attempts = 3
-		first.Serve(context.Background(), req, &out)
+		s.Serve(context.Background(), req, &out)
 		var want strings.Builder
 		for n := 1; n <= 5; n++ {
 			fmt.Fprintf(&want, "id: %d\ndata: %d\n\n", n, n)
@@ -97,78 +96,74 @@
 	})
 }
 
-// A stream that may not be resumed breaks. Its answer must not look complete,
-// and nothing may run again.
-func TestBrokenStreamIsAborted(t *testing.T) {
+// A broken stream that is not resumable must be aborted and must not run again.
+func TestNonResumableStreamIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a", "b")
-		w.does("a", script{events: 5, broken: 2})
-		w.does("b", script{events: 5, broken: 2})
+		b := newFakeBackend("a", "b")
+		b.setScript("a", script{events: 5, broken: 2})
+		b.setScript("b", script{events: 5, broken: 2})
 		var out sink
-		newServer(w).Serve(context.Background(), request("r", fleet.Stream, false), &out)
+		newServer(b).Serve(context.Background(), request("r", fleet.Stream, false), &out)
 		is.True(out.aborted)
-		is.Equal(len(w.runs["r"]), 1)
+		is.Equal(len(b.runs["r"]), 1)
 	})
 }
 
-// A busy model has one endpoint, which is slow. Requests were cancelled there
-// after 0.75 s and, with nowhere else to go, failed near their deadline: work
-// that would have ended late was thrown away and the load stayed.
-func TestSlowOnlyEndpointIsNotGivenUp(t *testing.T) {
+// A request at the only endpoint of a model must not be canceled because the endpoint is slow.
+func TestAttemptAtOnlyEndpointIsNotAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a")
-		w.does("a", script{took: 2 * time.Second, events: 3, broken: -1})
+		b := newFakeBackend("a")
+		b.setScript("a", script{latency: 2 * time.Second, events: 3, broken: -1})
 		var out sink
-		newServer(w).Serve(context.Background(), request("r", fleet.Stream, true), &out)
+		newServer(b).Serve(context.Background(), request("r", fleet.Stream, true), &out)
 		is.Equal(out.status, 200)
-		is.Equal(w.cancelled, 0)
+		is.Equal(b.canceled, 0)
 	})
 }
 
-// An endpoint hangs on a request while another is idle: the client gets its
-// answer from the other one, and the first is told to stop.
-func TestHungEndpointIsGivenUp(t *testing.T) {
+// An attempt at a stalled endpoint must be canceled and retried at an idle one.
+func TestAttemptAtStalledEndpointIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a", "b")
-		w.does("a", script{hang: true})
-		w.does("b", script{hang: true})
-		s := newServer(w)
+		b := newFakeBackend("a", "b")
+		b.setScript("a", script{hang: true})
+		b.setScript("b", script{hang: true})
+		s := newServer(b)
 		var out sink
 		req := request("r", fleet.Idempotent, false)
 		first := make(chan struct{})
 		go func() {
-			// The endpoint that is not asked first serves.
+			// The endpoint that is tried second responds.
 			time.Sleep(time.Millisecond)
-			w.mu.Lock()
+			b.mu.Lock()
 			for _, id := range []fleet.EndpointID{"a", "b"} {
-				if id != w.sends[0].Endpoint.ID {
-					w.scripts[id] = nil
+				if id != b.sends[0].Endpoint.ID {
+					b.scripts[id] = nil
 				}
 			}
-			w.mu.Unlock()
+			b.mu.Unlock()
 			close(first)
 		}()
 		s.Serve(context.Background(), req, &out)
 		<-first
 		is.Equal(out.status, 200)
-		is.Equal(w.cancelled, 1)
+		is.Equal(b.canceled, 1)
 	})
 }
 
-// A model takes longer to load than its clients wait. Refused at once, it still
-// has to count as wanted, or it would never be loaded.
-func TestRefusedModelStaysWanted(t *testing.T) {
+// A model that takes longer to load than its clients wait must stay in the demand after its
+// requests are refused.
+func TestRefusedRequestStaysInDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld()
-		w.farUntil = time.Now().Add(time.Minute)
-		s := newServer(w)
+		b := newFakeBackend()
+		b.farUntil = time.Now().Add(time.Minute)
+		s := newServer(b)
 		var out sink
 		r := s.Serve(context.Background(), request("r", fleet.Once, false), &out)
-		is.True(out.promises())
+		is.True(out.promisesNotRun())
 		is.Equal(r.Total, time.Duration(0))
 		dispatcher(s).Demand()
 		again := dispatcher(s).Demand()
@@ -179,17 +174,16 @@
 	})
 }
 
-// A request waits for a model that is not loaded; it is granted the moment the
-// model is there.
-func TestWaitingRequestIsGrantedWhenTheModelIsThere(t *testing.T) {
+// A request that waits for its model must be granted a slot as soon as the model is loaded.
+func TestWaitingRequestRunsOnceModelIsLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld()
-		s := newServer(w)
+		b := newFakeBackend()
+		s := newServer(b)
 		var out sink
 		go func() {
 			time.Sleep(time.Second)
-			w.setReady("a")
+			b.setReady("a")
 			dispatcher(s).Kick()
 		}()
 		r := s.Serve(context.Background(), request("r", fleet.Once, false), &out)
@@ -198,14 +192,12 @@
 	})
 }
 
-// A stopping host reached the end of its grace with a request still waiting for
-// a model and closed the connection without an answer: a lost request, which
-// its client could have sent elsewhere.
-func TestStoppingHostRefusesWhatWaits(t *testing.T) {
+// A host that shuts down must refuse waiting requests before the end of its grace period.
+func TestShutdownRefusesWaitingRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld()
-		s := newServer(w)
+		b := newFakeBackend()
+		s := newServer(b)
 		start := time.Now()
 		go func() {
 			time.Sleep(100 * time.Millisecond)
@@ -213,25 +205,23 @@
 		}()
 		var out sink
 		s.Serve(context.Background(), request("r", fleet.Once, false), &out)
-		is.True(out.promises())
+		is.True(out.promisesNotRun())
 		is.True(out.refusal.RetryAfter > 0)
 		is.True(time.Since(start) <= 1500*time.Millisecond)
 	})
 }
 
-// Many clients leave in the middle of their streams, and each time the endpoint
-// was taken for failing: after a few it was asked only as a last choice, and its
-// neighbours got all the load. The write to the client had failed, not the run.
-func TestEndpointIsNotBlamedForClientsThatLeave(t *testing.T) {
+// A failed write to the client must not count as a failure of the endpoint.
+func TestClientWriteFailureIsNotEndpointFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a")
-		s := newServer(w)
+		b := newFakeBackend("a")
+		s := newServer(b)
 		for range 20 {
-			w.does("a", script{events: 3, broken: -1})
+			b.setScript("a", script{events: 3, broken: -1})
 			s.Serve(context.Background(), request("r", fleet.Stream, true), &sink{gone: true})
 		}
-		w.setReady("b")
+		b.setReady("b")
 		for range 20 {
 			s.Serve(context.Background(), request("r", fleet.Stream, true), &sink{})
 		}
@@ -239,20 +229,20 @@
 	})
 }
 
-// A client leaves in the middle of its stream, and the backend reports a broken
-// stream, not why. The endpoint was taken for failing, and the log said so.
-func TestBrokenStreamOfALeavingClient(t *testing.T) {
+// A stream that breaks because its client disconnected must not count as a failure of the
+// endpoint, whatever error the backend returns.
+func TestBrokenStreamOfDisconnectedClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a")
-		s := newServer(w)
+		b := newFakeBackend("a")
+		s := newServer(b)
 		for range 20 {
-			w.does("a", script{events: 3, broken: 1})
+			b.setScript("a", script{events: 3, broken: 1})
 			ctx, cancel := context.WithCancel(context.Background())
-			r := s.Serve(ctx, request("r", fleet.Stream, true), &sink{leave: cancel})
+			r := s.Serve(ctx, request("r", fleet.Stream, true), &sink{onWrite: cancel})
 			is.Equal(r.Refusal.Cause, serve.CauseClientGone)
 		}
-		w.setReady("b")
+		b.setReady("b")
 		for range 20 {
 			s.Serve(context.Background(), request("r", fleet.Stream, true), &sink{})
 		}
@@ -260,27 +250,27 @@
 	})
 }
 
-// A client that leaves must not have its request started afterwards, and its
-// endpoint must stop.
-func TestClientThatLeaves(t *testing.T) {
+// When a client disconnects, its request must be canceled at the endpoint and must not run
+// again.
+func TestClientDisconnectCancelsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a")
-		w.does("a", script{hang: true})
+		b := newFakeBackend("a")
+		b.setScript("a", script{hang: true})
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(200*time.Millisecond, cancel)
 		var out sink
-		r := newServer(w).Serve(ctx, request("r", fleet.Idempotent, false), &out)
-		is.Equal(w.cancelled, 1)
-		is.Equal(len(w.runs["r"]), 1)
+		r := newServer(b).Serve(ctx, request("r", fleet.Idempotent, false), &out)
+		is.Equal(b.canceled, 1)
+		is.Equal(len(b.runs["r"]), 1)
 		is.Equal(r.Refusal.Cause, serve.CauseClientGone)
 	})
 }
 
-// Whatever endpoints do, a request that may run once runs at most once, none
-// runs on more endpoints than its route allows, a refusal that says "not run"
-// is true, and a client never gets two answers.
-func TestRunsAndPromises(t *testing.T) {
+// Checks invariants for arbitrary endpoint behavior: a request that may run once runs at most
+// once, no request runs more often than its route allows, a refusal that promises that the
+// request has not run is true, and each client gets exactly one response.
+func TestRunLimitsAndRefusals(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		kind := rapid.SampledFrom([]fleet.Kind{fleet.Idempotent, fleet.Once, fleet.Stream}).Draw(rt, "kind")
 		resumable := rapid.Bool().Draw(rt, "resumable")
@@ -302,44 +292,42 @@
 		}
 		scripts := map[string][]script{"a": draw("a"), "b": draw("b"), "c": draw("c")}
 		synctest.Test(t, func(*testing.T) {
-			w := newWorld("a", "b", "c")
+			b := newFakeBackend("a", "b", "c")
 			for id, s := range scripts {
-				w.does(id, s...)
+				b.setScript(id, s...)
 			}
 			req := request("r", kind, resumable)
 			req.Route.Attempts = attempts
 			var out sink
-			newServer(w).Serve(context.Background(), req, &out)
-			runs := len(w.runs["r"])
+			newServer(b).Serve(context.Background(), req, &out)
+			runs := len(b.runs["r"])
 			if !req.Route.Repeatable() && runs > 1 {
-				rt.Fatalf("%d runs of a request that may run once", runs)
+				rt.Fatalf("request that may run once ran %d times", runs)
 			}
 			if runs > attempts {
-				rt.Fatalf("%d runs, %d are allowed", runs, attempts)
+				rt.Fatalf("request ran %d times, its route allows %d", runs, attempts)
 			}
-			if out.promises() && runs > 0 {
-				rt.Fatalf("called not run after %d runs", runs)
+			if out.promisesNotRun() && runs > 0 {
+				rt.Fatalf("refusal promises that the request has not run, but it ran %d times", runs)
 			}
 			if out.begun > 1 || out.begun == 1 && out.refusal != nil {
-				rt.Fatalf("two answers")
+				rt.Fatalf("client got more than one response")
 			}
 			if out.begun == 0 && out.refusal == nil {
-				rt.Fatalf("no answer")
+				rt.Fatalf("client got no response")
 			}
 		})
 	})
 }
 
-// An expert opinion runs at the only endpoint that holds its model, and the answer is
-// lost on its way. No other endpoint could take the request, so that it was not sent
-// again: its client left after 12 s with an objective of 3 s, while the endpoint
-// answered all others in 0.2 s. One that is still held there must not run twice.
-func TestLostAnswerIsAskedFor(t *testing.T) {
+// A repeatable request whose response was lost must be sent again to the only endpoint with
+// its model, unless the endpoint still holds it.
+func TestLostResponseIsDetected(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		told serve.Run
-		kind fleet.Kind
-		sent int
+		name   string
+		status serve.Run
+		kind   fleet.Kind
+		sent   int
 	}{
 		{"the run has ended there", serve.Run{}, fleet.Stream, 2},
 		{"it has begun to answer", serve.Run{Held: true, Begun: true}, fleet.Stream, 2},
@@ -349,14 +337,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld("a")
-				w.told = c.told
-				w.does("a", script{hang: true}, script{events: 3, broken: -1})
+				b := newFakeBackend("a")
+				b.status = c.status
+				b.setScript("a", script{hang: true}, script{events: 3, broken: -1})
 				var out sink
 				r := request("r", c.kind, true)
 				start := time.Now()
-				got := newServer(w).Serve(t.Context(), r, &out)
-				is.Equal(len(w.sends), c.sent)
+				got := newServer(b).Serve(t.Context(), r, &out)
+				is.Equal(len(b.sends), c.sent)
 				is.Equal(got.Complete, c.sent == 2)
 				is.True(c.sent == 1 || time.Since(start) < 1500*time.Millisecond)
 			})
@@ -364,21 +352,21 @@
 	}
 }
 
-// Prompts of a model wait for each other at its only replica. The controller learns that
-// from how long answers take to begin; untold, it leaves the model with one.
-func TestDemandTellsHowLongAnswersTakeToBegin(t *testing.T) {
+// Demand must include how long requests waited for the first byte, from which the controller
+// sees that a model needs more replicas.
+func TestDemandReportsFirstByteWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld("a")
-		slow := script{took: 300 * time.Millisecond, events: 3, broken: -1}
-		w.does("a", slow, slow)
-		s := newServer(w)
+		b := newFakeBackend("a")
+		slow := script{latency: 300 * time.Millisecond, events: 3, broken: -1}
+		b.setScript("a", slow, slow)
+		s := newServer(b)
 		for _, id := range []string{"r1", "r2"} {
 			s.Serve(t.Context(), request(id, fleet.Stream, true), &sink{})
 		}
 		demand := dispatcher(s).Demand()
 		is.Equal(len(demand), 1)
 		is.Equal(demand[0].Starting, 600*time.Millisecond)
-		is.Equal(len(dispatcher(s).Demand()), 0) // told once
+		is.Equal(len(dispatcher(s).Demand()), 0) // reported once
 	})
 }
--- a/pkg/serve/server.go
+++ b/pkg/serve/server.go
@@ -14,74 +14,73 @@
 )
 
 const (
-	// maxRejected bounds how many endpoints may reject a request before it is
-	// refused: each rejection counts against the retry budget of all clients.
-	maxRejected = 4
-	// minRepeat is the least time left for which a request is sent again.
-	minRepeat = 100 * time.Millisecond
-	// bufferedBody is the size up to which the body of a plain answer is read
-	// before its head is passed on. An answer that breaks off before can then be
-	// repeated or reported, instead of ending the client's connection.
-	bufferedBody = 64 << 10
-	// patienceObjectives is how many objectives a repeatable request waits for a
-	// first byte from an endpoint that answers others, and patienceServices how
-	// many usual service times: some endpoints hang on part of their requests.
-	patienceObjectives = 2.5
-	patienceServices   = 6
-	// minPatience keeps short objectives from repeating requests that only queue.
-	minPatience = 600 * time.Millisecond
-	// askAfter is after how long without a first byte an endpoint is asked what has
-	// become of a repeatable request, and again each time that has doubled: a few times
-	// the lag of what it says. askTimeout bounds the question.
-	askAfter   = time.Second
-	askTimeout = 700 * time.Millisecond
-	// gapPatience is how many longest pauses of a stream pass before it is
-	// resumed elsewhere. Clients leave after eight.
-	gapPatience = 3
+	// maxRejections is how many endpoints may reject a request before it is refused. Each
+	// rejection counts against the retry budget shared by all clients.
+	maxRejections = 4
+	// minRetryTime is the least remaining time for which a request is sent again.
+	minRetryTime = 100 * time.Millisecond
+	// bufferedBodyBytes is the size up to which the body of a non-streaming response is read
+	// before its head is forwarded. A response that breaks off earlier can be retried.
+	bufferedBodyBytes = 64 << 10
+	// The first-byte timeout of a repeatable request is the larger of firstByteObjectives
+	// objectives and firstByteServiceTimes average service times.
+	firstByteObjectives   = 2.5
+	firstByteServiceTimes = 6
+	// minFirstByteTimeout keeps requests with a short objective from being abandoned while
+	// they wait in the queue of an endpoint.
+	minFirstByteTimeout = 600 * time.Millisecond
+	// checkRunAfter is the time without a first byte after which the endpoint is queried for
+	// the state of a repeatable request. It doubles with each query. checkRunTimeout limits
+	// one query.
+	checkRunAfter   = time.Second
+	checkRunTimeout = 700 * time.Millisecond
+	// maxGapFactor is the number of the route's MaxGap intervals without a byte after which a
+	// stream is resumed elsewhere.
+	maxGapFactor = 3
 )
 
-// Result is what happened to a request, for logs and metrics.
+// Result is the outcome of a request, for logs and metrics.
 type Result struct {
 	Request *Request
-	// Status is that of the endpoint's answer, 0 if this host answered itself.
+	// Status is the status of the endpoint's response, or 0 if this host refused the request.
 	Status   int
 	Refusal  *Refusal
 	Endpoint fleet.EndpointID
-	// Sent counts endpoints that got the request, Runs those that may have run it.
+	// Sent counts attempts that reached an endpoint, Runs those that may have run the request.
 	Sent int
 	Runs int
-	// Waited is the time until the request was first sent, FirstByte until the
-	// first byte of the answer went to the client.
+	// Waited is the time until the request was first sent, FirstByte the time until the head
+	// of the response was sent to the client.
 	Waited    time.Duration
 	FirstByte time.Duration
 	Total     time.Duration
-	// Resumed counts how often a stream went on at another endpoint.
+	// Resumed counts how often a stream was resumed at another endpoint.
 	Resumed int
-	// Complete tells whether the whole answer went out.
+	// Complete reports whether the complete response was sent to the client.
 	Complete bool
-	// Note is the last error of an endpoint.
+	// Note describes the last failure at an endpoint.
 	Note string
 }
 
-// retryPause is how long a request waits before it looks again whether a retry is
-// allowed: a part of the slices in which the budget is counted.
-const retryPause = 100 * time.Millisecond
+// retryBudgetInterval is how often a request checks the retry budget while it waits for it.
+const retryBudgetInterval = 100 * time.Millisecond
 
-// Server carries requests. It is safe for concurrent use.
+// Server serves requests. It is safe for concurrent use.
 type Server struct {
 	Backend Backend
 	Queue   Queue
 	Health  *Health
 	Budget  *retry.Budget
 	Now     func() time.Time
-	// Guard may be nil, and Allowances too.
+	// Guard and Allowances may be nil.
 	Guard      Guard
 	Allowances Allowances
-	// Tracer makes a span for each wait and each send.
+	// Tracer creates a span for each wait in the queue and each attempt.
 	Tracer trace.Tracer
 }
 
-// Serve answers a request through the sink. ctx ends when the client has gone.
+// Serve runs a request and sends the response to the sink. ctx must be canceled when the
+// client disconnects.
 func (s *Server) Serve(ctx context.Context, r *Request, sink Sink) Result {
 	now := s.Now()
 	s.Budget.Request(now, r.Service)
@@ -98,9 +97,9 @@
 		lastEvent: r.LastEvent,
 		result:    Result{Request: r},
 	}
-	defer x.dropKept()
-	// A blocked request asks for no place, and its model is not loaded for it.
-	if !x.blocked(ctx) && x.allowed(ctx) {
+	defer x.dropFallback()
+	// A blocked request must not count as demand for its model.
+	if !x.refuseIfBlocked(ctx) && x.chargeAccount(ctx) {
 		s.Queue.Arrive(r)
 		x.run(ctx)
 		x.refund()
@@ -109,174 +108,173 @@
 	return x.result
 }
 
-// exchange is one request on its way.
+// exchange is the state of one request while it is served.
 type exchange struct {
 	server   *Server
 	request  *Request
 	sink     Sink
 	avoid    Avoidance
 	rejected int
-	// begun tells whether the head of an answer went to the client.
-	begun     bool
+	// headSent reports whether the head of a response was sent to the client.
+	headSent  bool
 	lastEvent string
-	// retryTaken is set while a try that was given up has taken the retry after it.
-	retryTaken atomic.Bool
-	// probe is set while the request goes ahead of other copies of it.
+	// retryReserved is set if an abandoned attempt has already taken the retry that follows
+	// it.
+	retryReserved atomic.Bool
+	// probe is set while the request runs as the probe of a suspected request.
 	probe Probe
-	// kept is a failed answer that is passed on if no other endpoint can do better.
-	kept   *Answer
-	result Result
+	// fallback is a failed response that is forwarded if no other endpoint succeeds.
+	fallback *Answer
+	result   Result
 }
 
-// step is what a try has come to.
-type step int
+// attemptResult is the result of one attempt.
+type attemptResult int
 
 const (
-	// finished requests have their final answer.
-	finished step = iota
-	// notRun requests were not run by the endpoint.
-	notRun
-	// failed requests may have run, and their answer is not complete.
-	failed
+	// attemptDone means that the final response was sent.
+	attemptDone attemptResult = iota
+	// attemptNotRun means that the endpoint did not run the request.
+	attemptNotRun
+	// attemptFailed means that the request may have run without a complete response.
+	attemptFailed
 )
 
 func (x *exchange) run(ctx context.Context) {
 	for {
-		if x.blocked(ctx) {
+		if x.refuseIfBlocked(ctx) {
 			return
 		}
-		if x.result.Sent > 0 && !x.mayRetry() && !x.awaitRetry(ctx) {
-			x.giveUp(ctx, Refusal{Cause: CauseBudget, NotRun: true, RetryAfter: minRetryAfter})
+		if x.result.Sent > 0 && !x.takeRetry() && !x.awaitRetry(ctx) {
+			x.finish(ctx, Refusal{Cause: CauseBudget, NotRun: true, RetryAfter: minRetryAfter})
 			return
 		}
-		e, refusal := x.place(ctx)
-		// It may have waited for seconds, and endpoints have ended under it meanwhile.
-		if refusal == nil && x.blocked(ctx) {
+		e, refusal := x.acquireSlot(ctx)
+		// The guard may have blocked the request while it waited.
+		if refusal == nil && x.refuseIfBlocked(ctx) {
 			x.server.Queue.Release(x.request, e.ID, Use{})
-			x.leave(e, ProbeNotRun)
+			x.endProbe(e, ProbeNotRun)
 			return
 		}
 		if refusal != nil {
-			x.leave(e, ProbeNotRun)
+			x.endProbe(e, ProbeNotRun)
 			x.refuse(ctx, *refusal)
 			return
 		}
-		step := x.try(ctx, e)
-		x.leave(e, x.probed(step))
-		switch step {
-		case finished:
+		result := x.attempt(ctx, e)
+		x.endProbe(e, x.probeOutcome(result))
+		switch result {
+		case attemptDone:
 			return
-		case notRun:
+		case attemptNotRun:
 			x.rejected++
-			if x.rejected >= maxRejected {
-				x.giveUp(ctx, Refusal{Cause: CauseNoRoom, NotRun: true, RetryAfter: minRetryAfter})
+			if x.rejected >= maxRejections {
+				x.finish(ctx, Refusal{Cause: CauseNoRoom, NotRun: true, RetryAfter: minRetryAfter})
 				return
 			}
-		case failed:
+		case attemptFailed:
 			x.avoid[e.ID] = LastChoice
 			if !x.mayRunAgain(ctx) {
-				x.giveUp(ctx, Refusal{Cause: CauseBroken, Detail: errors.New(x.result.Note)})
+				x.finish(ctx, Refusal{Cause: CauseBroken, Detail: errors.New(x.result.Note)})
 				return
 			}
 		}
 	}
 }
 
-// refuse gives the request up, as a blocked one if it was blocked while it waited.
+// refuse ends the request with a refusal, or as blocked if it was blocked while it waited.
 func (x *exchange) refuse(ctx context.Context, r Refusal) {
-	if !x.blocked(ctx) {
-		x.giveUp(ctx, r)
+	if !x.refuseIfBlocked(ctx) {
+		x.finish(ctx, r)
 	}
 }
 
-// probed is what a try shows of a request on trial.
-func (x *exchange) probed(s step) ProbeOutcome {
+// probeOutcome returns the outcome of a probe for the result of its attempt.
+func (x *exchange) probeOutcome(r attemptResult) ProbeOutcome {
 	switch {
-	case s == notRun:
+	case r == attemptNotRun:
 		return ProbeNotRun
-	case s == finished && x.result.Complete:
+	case r == attemptDone && x.result.Complete:
 		return ProbeServed
 	}
 	return ProbeBroken
 }
 
-// mayRetry takes a retry from the common budget, unless one was taken already.
-func (x *exchange) mayRetry() bool {
-	return x.retryTaken.Swap(false) || x.server.Budget.Take(x.server.Now(), x.request.Service)
+// takeRetry takes a retry from the shared budget unless one is reserved, and reports whether
+// the request may be retried.
+func (x *exchange) takeRetry() bool {
+	return x.retryReserved.Swap(false) || x.server.Budget.Take(x.server.Now(), x.request.Service)
 }
 
-// awaitRetry waits for the budget to allow a retry of a request that has not run. Refused
-// at once, its client would come back as a new request and cost another arrival, or be refused
-// with most of its time left. What another endpoint may have run, or has answered, does not wait.
+// awaitRetry blocks until the budget allows a retry of a request that has not run, and reports
+// whether it does. It returns false at once if the request may have run or has a fallback
+// response.
 func (x *exchange) awaitRetry(ctx context.Context) bool {
-	if x.result.Runs > 0 || x.kept != nil {
+	if x.result.Runs > 0 || x.fallback != nil {
 		return false
 	}
-	until := giveUp(x.request)
+	until := holdUntil(x.request)
 	for x.server.Now().Before(until) {
-		if !wait.For(ctx, wait.Jitter(retryPause)) {
+		if !wait.For(ctx, wait.Jitter(retryBudgetInterval)) {
 			return false
 		}
-		if x.mayRetry() {
+		if x.takeRetry() {
 			return true
 		}
 	}
 	return false
 }
 
-// takeRetry takes the retry that follows a try which is to be given up. Without one
-// the try goes on: given up, its answer would end without another in its place, also one whose
-// first event comes as its try is given up.
-func (x *exchange) takeRetry() bool {
+// reserveRetry reserves the retry that follows an attempt before the attempt is abandoned, and
+// reports whether the budget allows it. Without a retry, the attempt must continue.
+func (x *exchange) reserveRetry() bool {
 	if !x.server.Budget.TakeSpare(x.server.Now(), x.request.Service) {
 		return false
 	}
-	x.retryTaken.Store(true)
+	x.retryReserved.Store(true)
 	return true
 }
 
 func (x *exchange) acquire(ctx context.Context) (fleet.Endpoint, *Refusal) {
 	ctx, span := x.server.Tracer.Start(ctx, "queue", trace.WithAttributes(attribute.String("model", x.request.Model)))
 	defer span.End()
-	if x.kept != nil {
-		// A failed answer is at hand: it is passed on rather than kept waiting.
+	if x.fallback != nil {
+		// The wait is short while a fallback response is available.
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, minRepeat)
+		ctx, cancel = context.WithTimeout(ctx, minRetryTime)
 		defer cancel()
 	}
-	return x.server.Queue.Acquire(ctx, x.request, Tried{At: x.avoid, Begun: x.begun})
+	return x.server.Queue.Acquire(ctx, x.request, Tried{At: x.avoid, Begun: x.headSent})
 }
 
-// mayRunAgain keeps to what the route allows: a request that may run at most
-// once is never sent again after it may have run, also when its endpoint died.
+// mayRunAgain reports whether the request may be sent again after it may have run.
 func (x *exchange) mayRunAgain(ctx context.Context) bool {
 	return x.request.Route.Repeatable() &&
 		x.result.Runs < x.request.Route.Attempts &&
 		!x.suspected() &&
 		ctx.Err() == nil &&
-		(x.begun && x.request.StartOnly || x.request.Deadline.Sub(x.server.Now()) > minRepeat)
+		(x.headSent && x.request.StartOnly || x.request.Deadline.Sub(x.server.Now()) > minRetryTime)
 }
 
-// giveUp sends the final answer of a request that no endpoint answered.
-func (x *exchange) giveUp(ctx context.Context, r Refusal) {
+// finish sends the final response of a request that no endpoint completed.
+func (x *exchange) finish(ctx context.Context, r Refusal) {
 	switch {
-	case x.begun:
-		r = x.final(ctx, r)
+	case x.headSent:
+		r = x.finalRefusal(ctx, r)
 		x.sink.Abort()
-	case x.kept != nil:
-		x.pass(x.kept)
+	case x.fallback != nil:
+		x.sendFallback(x.fallback)
 		return
 	default:
-		r = x.final(ctx, r)
+		r = x.finalRefusal(ctx, r)
 		x.sink.Refuse(r)
 	}
 	x.result.Refusal = &r
 }
 
-// final settles what a refusal may promise: not run only where no endpoint can
-// have run the request, now or for another attempt of its client. The cause tells
-// a client that has gone from a deadline.
-func (x *exchange) final(ctx context.Context, r Refusal) Refusal {
+// finalRefusal adjusts a refusal to the state of the request. NotRun is kept only if no
+// endpoint can have run the request. A done context determines the cause.
+func (x *exchange) finalRefusal(ctx context.Context, r Refusal) Refusal {
 	r.NotRun = r.NotRun && x.result.Runs == 0
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
--- a/pkg/serve/urgency.go
+++ b/pkg/serve/urgency.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Urgencies of requests at an endpoint, 0 first. The first rank goes before all others,
-// late requests come last.
+// Urgency levels of requests at an endpoint, where 0 is the highest. Requests of the highest
+// priority precede all others, requests that missed their objective come last.
 const (
-	firstRankLevels  = 3
-	otherRanksFrom   = firstRankLevels
-	otherRanksLevels = 6
-	lateUrgency      = otherRanksFrom + otherRanksLevels
+	topPriorityLevels     = 3
+	otherPrioritiesFrom   = topPriorityLevels
+	otherPrioritiesLevels = 6
+	lateUrgency           = otherPrioritiesFrom + otherPrioritiesLevels
 )
 
-// Urgency is how soon an endpoint takes a request up, as against others that wait there.
+// Urgency returns the priority of a request in the queue of an endpoint, where 0 is the
+// highest.
 //
-// The load pattern: more requests come for a model than its replicas can serve, and it can
-// be loaded nowhere else soon. Taken up in the order in which they come, all of them wait
-// for as long, and nearly all are late. So requests of a rank are taken up in an order that their IDs
-// decide, the same at each endpoint: those that can be served are served in time, and the
-// lateness falls on the rest. Where nothing waits, the order changes nothing.
+// If a model gets more requests than its replicas can serve, serving them in order of arrival
+// would delay all of them beyond their objective. Requests of the same priority are therefore
+// ordered by a hash of their ID, which is the same at each endpoint, so that most of them meet
+// the objective and the others are late. Without a queue, the order has no effect.
 func Urgency(r *Request, now time.Time) int {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(r.ID)) // A hash takes all.
-	draw := int(h.Sum32() >> 8)
+	_, _ = h.Write([]byte(r.ID)) // Write of a hash never fails.
+	level := int(h.Sum32() >> 8)
 	switch {
 	case r.Route.Priority == 0:
-		return draw % firstRankLevels
+		return level % topPriorityLevels
 	case r.Route.Objective > 0 && now.After(r.Aim()):
 		return lateUrgency
 	default:
-		return otherRanksFrom + draw%otherRanksLevels
+		return otherPrioritiesFrom + level%otherPrioritiesLevels
 	}
 }
--- a/pkg/serve/urgency_test.go
+++ b/pkg/serve/urgency_test.go
@@ -12,19 +12,18 @@
 	"github.com/tealvane/tealvane/pkg/serve"
 )
 
-// A model's replicas are asked for a quarter more than they can serve, for ten seconds.
-// Taken up as they came, all requests waited for as long, and nearly all were late. Replayed
-// at one replica: 25 requests a second are served, 31 come, and they aim at 400 ms.
-func TestOverloadLeavesMostRequestsInTime(t *testing.T) {
+// Under overload, serving requests in order of arrival delays nearly all of them beyond their
+// objective. Ordered by urgency, most of them must meet it.
+func TestUrgencyKeepsMostRequestsOnTimeUnderOverload(t *testing.T) {
 	is := is.New(t)
 	route := fleet.Route{Priority: 1, Objective: 400 * time.Millisecond}
-	inOrder := func(*serve.Request, time.Time) int { return 0 }
-	is.True(inTime(route, inOrder) < 0.3)
+	arrivalOrder := func(*serve.Request, time.Time) int { return 0 }
+	is.True(inTime(route, arrivalOrder) < 0.3)
 	is.True(inTime(route, serve.Urgency) > 0.65)
 }
 
-// inTime plays requests at a replica that takes them up by urgency, and returns the part
-// that began in time.
+// inTime simulates a replica that serves requests in order of urgency, and returns the share
+// of requests that meet their objective.
 func inTime(route fleet.Route, urgency func(*serve.Request, time.Time) int) float64 {
 	const serviceTime, gap, requests = 40 * time.Millisecond, 32 * time.Millisecond, 310
 	start := time.Unix(1000, 0)
@@ -33,7 +32,7 @@
 		urgency int
 	}
 	var queue []waiter
-	now, next, begun := start, 0, 0
+	now, next, onTime := start, 0, 0
 	for range requests {
 		for ; next < requests && !start.Add(time.Duration(next)*gap).After(now); next++ {
 			r := &serve.Request{ID: fmt.Sprintf("%08x", next*2654435761), Arrived: start.Add(time.Duration(next) * gap), Route: route}
@@ -42,17 +41,18 @@
 		slices.SortStableFunc(queue, func(a, b waiter) int { return cmp.Compare(a.urgency, b.urgency) })
 		if len(queue) > 0 {
 			if !now.After(queue[0].Aim()) {
-				begun++
+				onTime++
 			}
 			queue = queue[1:]
 		}
 		now = now.Add(serviceTime)
 	}
-	return float64(begun) / requests
+	return float64(onTime) / requests
 }
 
-// A request of the first rank waits beside others, and behind one that is late already.
-func TestRanksComeBeforeTheDraw(t *testing.T) {
+// Requests of the highest priority must precede all others, even if they are late. Late
+// requests of other priorities come last.
+func TestPriorityPrecedesUrgencyHash(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	for i := range 200 {
@@ -63,7 +63,7 @@
 		other := serve.Urgency(r, now)
 		is.True(first < other)
 		is.True(other < serve.Urgency(r, now.Add(2*time.Second)))
-		is.Equal(first, late) // the first rank is served late rather than never
+		is.Equal(first, late) // the highest priority does not yield when late
 		is.True(other < 9)
 	}
 }
