--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -1,5 +1,4 @@
-// Package admission decides which waiting request is served next and which is
-// refused at once because its deadline cannot be met.
+// Package admission orders waiting requests and refuses those whose deadline cannot be met.
 package admission
 
 import (
@@ -9,37 +8,36 @@
 	"time"
 )
 
-// Waiter is a request that waits for a place at a replica.
+// Waiter is a request that waits for a slot at a replica.
 type Waiter struct {
 	Customer string
 	Deadline time.Time
-	// Answer receives the final answer, exactly once or never.
+	// Answer receives the result of the wait, at most once.
 	Answer chan Answer
 	index  int
 	seq    uint64
 }
 
-// Answer ends a wait: with a replica, or with the reason of a refusal.
+// Answer is the result of a wait: a replica, or the reason of a refusal.
 type Answer struct {
 	Replica    string
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Queue holds waiting requests by customer, each customer's earliest deadline
-// first. It is not safe for concurrent use.
+// Queue holds waiting requests by customer, ordered by deadline. It is not safe for concurrent
+// use.
 type Queue struct {
 	customers map[string]*waiterHeap
 	len       int
 	seq       uint64
 }
 
-// NewWaiter returns a request that is in no queue yet.
+// NewWaiter returns a waiter that is not in a queue.
 func NewWaiter(customer string, deadline time.Time) *Waiter {
 	return &Waiter{Customer: customer, Deadline: deadline, Answer: make(chan Answer, 1), index: -1}
 }
 
-// Push adds a waiter.
 func (q *Queue) Push(w *Waiter) {
 	if q.customers == nil {
 		q.customers = map[string]*waiterHeap{}
@@ -53,24 +51,24 @@
 	heap.Push(q.customers[w.Customer], w)
 }
 
-// Remove takes a waiter out and tells whether it was still in the queue.
+// Remove removes a waiter and reports whether it was in the queue.
 func (q *Queue) Remove(w *Waiter) bool {
 	if w.index < 0 {
 		return false
 	}
-	items := q.customers[w.Customer]
-	heap.Remove(items, w.index)
-	if len(*items) == 0 {
+	waiters := q.customers[w.Customer]
+	heap.Remove(waiters, w.index)
+	if len(*waiters) == 0 {
 		delete(q.customers, w.Customer)
 	}
 	q.len--
 	return true
 }
 
-// Len is the number of waiters.
+// Len returns the number of waiters.
 func (q *Queue) Len() int { return q.len }
 
-// Earliest returns the earliest deadline, zero when none waits.
+// Earliest returns the earliest deadline, or the zero time if the queue is empty.
 func (q *Queue) Earliest() time.Time {
 	w := q.Next(func(string) int { return 0 })
 	if w == nil {
@@ -79,9 +77,9 @@
 	return w.Deadline
 }
 
-// Next returns the waiter to serve next, nil when none waits: the earliest
-// deadline of the customer that has had fewest turns. A customer's burst then
-// takes what others leave, and does not starve them.
+// Next returns the waiter to serve next, or nil if the queue is empty. It is the one with the
+// earliest deadline of the customer with the fewest turns, so that a burst of one customer
+// does not starve the others.
 func (q *Queue) Next(turns func(customer string) int) *Waiter {
 	var best *Waiter
 	for _, items := range q.customers {
@@ -100,8 +98,8 @@
 	return earlier(a, b)
 }
 
-// Ahead counts the waiters of a customer that are served before a new one of
-// its would be.
+// Ahead returns the number of a customer's waiters that are served before a new one with the
+// given deadline.
 func (q *Queue) Ahead(customer string, deadline time.Time) int {
 	items := q.customers[customer]
 	if items == nil {
@@ -116,10 +114,10 @@
 	return n
 }
 
-// Waits tells whether a customer has a waiting request.
+// Waits reports whether a customer has a waiting request.
 func (q *Queue) Waits(customer string) bool { return q.customers[customer] != nil }
 
-// InOrder returns each customer's waiters in the order in which they will be served.
+// InOrder returns each customer's waiters in the order in which they are served.
 func (q *Queue) InOrder() map[string][]*Waiter {
 	all := make(map[string][]*Waiter, len(q.customers))
 	for customer, items := range q.customers {
@@ -167,47 +165,46 @@
 	return w
 }
 
-// Situation is what an estimate of the wait depends on.
+// Situation is the input of Estimate.
 type Situation struct {
-	// Slots is the number of requests that the loaded replicas serve at once.
+	// Slots is the total number of slots of the loaded replicas.
 	Slots int
-	// Ahead is the number of requests that are served first, running or waiting.
+	// Ahead is the number of running and waiting requests that are served first.
 	Ahead int
-	// Service is the usual time of one request.
+	// Service is the average service time of a request.
 	Service time.Duration
-	// Loading tells whether a load is under way, for LoadElapsed so far.
+	// Loading reports whether a load is in progress. LoadElapsed is its duration so far.
 	Loading     bool
 	LoadElapsed time.Duration
-	// LoadTime is the usual time of a load.
+	// LoadTime is the usual duration of a load.
 	LoadTime time.Duration
-	// CanLoad tells whether a load can be decided now: the pool has an owner
-	// and the log is in reach.
+	// CanLoad reports whether a load can be started now: the pool has an owner and the log is
+	// available.
 	CanLoad bool
 }
 
-// Reason says why a request cannot be served in time.
+// Reason is the reason why a request cannot be served in time.
 type Reason string
 
-// The reasons of a refusal.
 const (
-	// ReasonNone means that nothing speaks against the request.
+	// ReasonNone means that the request can be served in time.
 	ReasonNone Reason = ""
 	// ReasonLoad means that the model cannot be loaded in time.
 	ReasonLoad Reason = "load_too_slow"
 	// ReasonQueue means that too many requests are ahead.
 	ReasonQueue Reason = "queue_too_long"
-	// ReasonNoDecision means that no load can be decided at present.
+	// ReasonNoDecision means that no load can be started now.
 	ReasonNoDecision Reason = "loads_unavailable"
 	// ReasonDeadline means that the deadline has passed.
 	ReasonDeadline Reason = "deadline"
 )
 
-// overdueShare says how much longer a load is expected to take that already
-// takes longer than usual: the longer it took, the less it is about to end.
-const overdueShare = 4
+// overdueDivisor divides the elapsed time of a load that takes longer than usual to estimate
+// its remaining time.
+const overdueDivisor = 4
 
-// Estimate returns the expected wait until a request is started. ok is false
-// when nothing can be expected.
+// Estimate returns the expected wait until a request is started. ok is false if no estimate is
+// possible.
 func Estimate(s Situation) (wait time.Duration, ok bool) {
 	if s.Slots == 0 && !s.Loading && !s.CanLoad {
 		return 0, false
@@ -229,25 +226,25 @@
 	case s.LoadElapsed < s.LoadTime:
 		return s.LoadTime - s.LoadElapsed
 	default:
-		return s.LoadElapsed / overdueShare
+		return s.LoadElapsed / overdueDivisor
 	}
 }
 
-// Admit tells whether a new request with that much time left should wait, and
-// otherwise why not and when to come back. It asks for some time to spare: a
-// request that only just fits would be given up late, when the estimate turns
-// out a little short. Each refuse rank asks for as much again, so that classes
-// of a higher rank are refused first when queues grow.
+// Admit decides whether a new request with the given time left should wait. Otherwise it
+// returns the reason and when to retry. It requires spare time in proportion to the estimated
+// wait, and more for each rank, so that requests with a higher rank are refused first when
+// queues grow.
 func Admit(s Situation, left time.Duration, rank int) (reason Reason, retryAfter time.Duration) {
 	wait, _ := Estimate(s)
-	return Keep(s, left-time.Duration(1+rank)*wait/spareShare)
+	return Keep(s, left-time.Duration(1+rank)*wait/spareDivisor)
 }
 
-// spareShare is the part of the estimated wait that a new request of rank 0
-// must have to spare.
-const spareShare = 8
+// spareDivisor divides the estimated wait to get the spare time that Admit requires for rank
+// 0.
+const spareDivisor = 8
 
-// Keep tells whether a request that waits already should go on waiting.
+// Keep decides whether a waiting request with the given time left should continue to wait.
+// Otherwise it returns the reason and when to retry.
 func Keep(s Situation, left time.Duration) (reason Reason, retryAfter time.Duration) {
 	wait, ok := Estimate(s)
 	switch {
@@ -264,6 +261,6 @@
 	}
 }
 
-// noDecisionRetry is when to come back while the log or the owner is missing;
-// a lapsed pool is taken over within this time.
+// noDecisionRetry is the retry time while the log or the owner of the pool is unavailable. A
+// pool with an expired lease gets a new owner within this time.
 const noDecisionRetry = 5 * time.Second
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The earliest deadline is always served first, whatever was removed before.
+// The waiter with the earliest deadline must be served first, whatever was removed before.
 func TestEarliestDeadlineFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q admission.Queue
@@ -21,14 +21,14 @@
 				q.Remove(w)
 				for _, other := range model {
 					if other.Deadline.Before(w.Deadline) {
-						t.Fatal("a later deadline was served first")
+						t.Fatalf("waiter with deadline %s was served before one with %s", w.Deadline, other.Deadline)
 					}
 				}
 				model = remove(model, w)
 			case len(model) > 0 && rapid.IntRange(0, 3).Draw(t, "remove") == 0:
 				w := model[rapid.IntRange(0, len(model)-1).Draw(t, "which")]
 				if !q.Remove(w) || q.Remove(w) {
-					t.Fatal("a waiter is removed exactly once")
+					t.Fatal("first removal of a waiter failed, or second one succeeded")
 				}
 				model = remove(model, w)
 			default:
@@ -37,7 +37,7 @@
 				model = append(model, w)
 			}
 			if q.Len() != len(model) || len(q.InOrder()["c"]) != len(model) {
-				t.Fatal("waiters were lost")
+				t.Fatalf("queue has %d waiters, want %d", q.Len(), len(model))
 			}
 		}
 	})
@@ -47,9 +47,9 @@
 	return slices.DeleteFunc(list, func(x *admission.Waiter) bool { return x == w })
 }
 
-// A customer's burst does not starve another: the one that had fewer turns
-// is served first, each by its own deadlines.
-func TestSharesByCustomer(t *testing.T) {
+// A burst of one customer must not starve another: the customer with fewer turns is served
+// first, by its own deadlines.
+func TestCustomerWithFewerTurnsFirst(t *testing.T) {
 	var q admission.Queue
 	at := func(s int64) time.Time { return time.Unix(s, 0) }
 	for i := range int64(3) {
@@ -59,15 +59,15 @@
 	turns := map[string]int{"burst": 2, "small": 1}
 	count := func(customer string) int { return turns[customer] }
 	if w := q.Next(count); w.Customer != "small" {
-		t.Fatalf("%s is served first", w.Customer)
+		t.Fatalf("customer %s is served first, want small", w.Customer)
 	}
 	turns["small"] = 2
 	if w := q.Next(count); w.Customer != "burst" || !w.Deadline.Equal(at(0)) {
-		t.Fatalf("%s with deadline %s is served first", w.Customer, w.Deadline)
+		t.Fatalf("customer %s with deadline %s is served first, want burst with %s", w.Customer, w.Deadline, at(0))
 	}
 }
 
-func TestDecisions(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	second := time.Second
 	for _, c := range []struct {
 		name string
@@ -89,7 +89,7 @@
 		{"queue is too long", admission.Situation{Slots: 2, Ahead: 8, Service: second}, 3 * second, admission.ReasonQueue, 0},
 	} {
 		if got, retryAfter := admission.Admit(c.s, c.left, c.rank); got != c.want || (got != admission.ReasonNone && retryAfter <= 0) {
-			t.Errorf("%s: %q, retry after %s", c.name, got, retryAfter)
+			t.Errorf("%s: got reason %q with retry after %s, want %q", c.name, got, retryAfter, c.want)
 		}
 	}
 }
