--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -7,97 +7,94 @@
 	"time"
 )
 
-// Candidate is a loaded replica as one host sees it.
+// Candidate is a loaded replica as observed by one host.
 type Candidate struct {
 	Replica string
 	Zone    string
 	// Own is the number of this host's running requests at the replica.
 	Own int
-	// Others is the number of other hosts' requests at the replica, by the
-	// engine's last report, and Age how old that report is.
+	// Others is the number of other hosts' requests at the replica according to its last load
+	// report, and Age the age of that report.
 	Others int
 	Age    time.Duration
-	// Limit is the number of this host's requests that may run at once.
+	// Limit is the maximum number of this host's concurrent requests.
 	Limit int
-	// Suspect replicas failed lately and are used only when no other has room.
+	// Suspect replicas failed recently and are used only if no other has a free slot.
 	Suspect bool
 }
 
-// load estimates the requests at the replica. What a report says of the other
-// hosts' requests loses its meaning with their service time: those that it saw
-// have ended, and its difference from other replicas is only noise.
+// load estimates the number of requests at the replica. The weight of the load report decays
+// with its age relative to the service time, since the reported requests end.
 func (c Candidate) load(service time.Duration) float64 {
-	fresh := math.Exp(-float64(c.Age) / float64(max(service, time.Millisecond)))
-	return float64(c.Own) + float64(c.Others)*fresh
+	weight := math.Exp(-float64(c.Age) / float64(max(service, time.Millisecond)))
+	return float64(c.Own) + float64(c.Others)*weight
 }
 
-// Choice is what a choice of replicas depends on beside the replicas.
+// Choice holds the parameters of Pick.
 type Choice struct {
-	// Zone is that of the choosing host.
+	// Zone is the availability zone of this host.
 	Zone string
-	// Service is the usual time of a request.
+	// Service is the average service time of a request.
 	Service time.Duration
-	// Affinity names what the request shares with others, empty for nothing.
+	// Affinity identifies a prompt prefix shared with other requests, or is empty.
 	Affinity string
 }
 
-// firstLoad is by how many requests the first choice, which is near or has read what a
-// request shares with others, may be busier than another: reading a shared part again
-// takes about as long as one request waits for another's prompt.
-const firstLoad = 1.0
+// preferredLoadMargin is the number of requests by which the preferred replica, which is in
+// the same zone or has the prompt prefix cached, may be busier than the alternative.
+const preferredLoadMargin = 1.0
 
-// Pick returns the index of the replica to use, or -1 when none has room. pick
-// returns a number below n. Two candidates are compared: one of the own availability
-// zone if it has any, with an affinity the one that all hosts of the zone prefer for
-// it; and one at random, so that hosts with the same late reports do not all choose
-// the same replica.
+// Pick returns the index of the replica to use, or -1 if none has a free slot. pick returns a
+// random number below n. Pick compares two candidates. The first is one of the same
+// availability zone if there is any, chosen by rendezvous hashing if an affinity is set. The
+// second is chosen at random, so that hosts with the same outdated load reports do not all
+// choose the same replica.
 func Pick(candidates []Candidate, c Choice, pick func(n int) int) int {
-	var open, near []int
+	var available, sameZone []int
 	for i, x := range candidates {
 		if x.Own >= x.Limit {
 			continue
 		}
-		open = append(open, i)
+		available = append(available, i)
 		if x.Zone == c.Zone {
-			near = append(near, i)
+			sameZone = append(sameZone, i)
 		}
 	}
-	if len(open) == 0 {
+	if len(available) == 0 {
 		return -1
 	}
-	if len(near) == 0 {
-		near = open
+	if len(sameZone) == 0 {
+		sameZone = available
 	}
-	a := near[pick(len(near))]
+	a := sameZone[pick(len(sameZone))]
 	if c.Affinity != "" {
-		a = preferred(candidates, near, c.Affinity)
+		a = preferred(candidates, sameZone, c.Affinity)
 	}
-	b := open[pick(len(open))]
+	b := available[pick(len(available))]
 	if better(candidates[b], candidates[a], c.Service) {
 		return b
 	}
 	return a
 }
 
-// preferred returns the candidate with the highest hash of its name and a key. All
-// hosts agree on it without a word, and few keys move when a replica comes or goes.
-func preferred(candidates []Candidate, open []int, key string) int {
-	best, most := open[0], uint64(0)
-	for _, i := range open {
+// preferred returns the candidate with the highest rendezvous hash for a key. All hosts
+// compute the same result, and few keys move when a replica is added or removed.
+func preferred(candidates []Candidate, available []int, key string) int {
+	best, highest := available[0], uint64(0)
+	for _, i := range available {
 		h := fnv.New64a()
-		_, _ = h.Write([]byte(key + "/" + candidates[i].Replica)) // A hash takes all.
-		if sum := h.Sum64(); sum >= most {
-			best, most = i, sum
+		_, _ = h.Write([]byte(key + "/" + candidates[i].Replica)) // Write of a hash never fails.
+		if sum := h.Sum64(); sum >= highest {
+			best, highest = i, sum
 		}
 	}
 	return best
 }
 
-// better tells whether a replica is so much less busy than the first choice that it
-// is used instead.
-func better(a, first Candidate, service time.Duration) bool {
-	if a.Suspect != first.Suspect {
-		return first.Suspect
+// better reports whether replica a should be used instead of the preferred one.
+func better(a, preferred Candidate, service time.Duration) bool {
+	if a.Suspect != preferred.Suspect {
+		return preferred.Suspect
 	}
-	return a.load(service)+firstLoad < first.load(service)
+	return a.load(service)+preferredLoadMargin < preferred.load(service)
 }
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -13,8 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// A request never goes to a replica without room, and to one that failed
-// lately only when the other choice failed too.
+// A request must never go to a replica without a free slot.
 func TestPickRespectsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []routing.Candidate
@@ -32,30 +31,30 @@
 		}
 		i := routing.Pick(list, routing.Choice{Zone: "z", Service: time.Second}, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
 		if (i >= 0) != room {
-			t.Fatalf("picked %d of %+v", i, list)
+			t.Fatalf("picked %d of %+v, a slot is free: %t", i, list, room)
 		}
 		if i >= 0 && list[i].Own >= list[i].Limit {
-			t.Fatalf("no room at %+v", list[i])
+			t.Fatalf("picked %+v, which has no free slot", list[i])
 		}
 	})
 }
 
-// The simulation behind BenchmarkLag: hosts send requests to replicas that
-// serve a few at a time; hosts see the load of a replica late.
+// Parameters of the simulation for BenchmarkLag: hosts send requests to replicas with a few
+// slots each and see their load with a delay.
 const (
 	simHosts    = 9
 	simReplicas = 18
-	simPlaces   = 4
+	simSlots    = 4
 	simService  = 100 * time.Millisecond
 	simLoad     = 0.85
 	simRequests = 60_000
 )
 
 type simReplica struct {
-	free    []time.Duration // when each place gets free
-	load    []sample        // load over time
+	free    []time.Duration // when each slot is free
+	load    []sample        // load over time, oldest first
 	own     [simHosts]int
-	ownLoad [simHosts][]sample // own requests over time
+	ownLoad [simHosts][]sample // requests of each host over time
 }
 
 type sample struct {
@@ -63,8 +62,8 @@
 	load int
 }
 
-// seen returns the load as it was lag ago.
-func (r *simReplica) seen(now, lag time.Duration) int { return loadAt(r.load, now-lag) }
+// reportedLoad returns the load as of lag before now.
+func (r *simReplica) reportedLoad(now, lag time.Duration) int { return loadAt(r.load, now-lag) }
 
 func loadAt(samples []sample, at time.Duration) int {
 	i, _ := slices.BinarySearchFunc(samples, at+1, func(s sample, at time.Duration) int { return int(s.at - at) })
@@ -99,11 +98,11 @@
 	return rnd.IntN(len(replicas))
 }
 
-// chooseLeast takes the least reported load, as all other hosts do.
+// chooseLeast returns the replica with the least reported load.
 func chooseLeast(replicas []*simReplica, _ int, now, lag time.Duration, _ *rand.Rand) int {
 	best := 0
 	for i, r := range replicas {
-		if r.seen(now, lag) < replicas[best].seen(now, lag) {
+		if r.reportedLoad(now, lag) < replicas[best].reportedLoad(now, lag) {
 			best = i
 		}
 	}
@@ -115,7 +114,7 @@
 	for i, r := range replicas {
 		list[i] = routing.Candidate{
 			Own:    r.own[host],
-			Others: r.seen(now, lag) - loadAt(r.ownLoad[host], now-lag),
+			Others: r.reportedLoad(now, lag) - loadAt(r.ownLoad[host], now-lag),
 			Age:    lag,
 			Limit:  simRequests,
 		}
@@ -123,14 +122,14 @@
 	return routing.Pick(list, routing.Choice{Service: simService}, rnd.IntN)
 }
 
-// simulate returns the 99th percentile of the time from arrival to end.
+// simulate returns the 99th percentile of the response time.
 func simulate(choose chooser, lag time.Duration) time.Duration {
 	rnd := rand.New(rand.NewPCG(5, 5))
 	replicas := make([]*simReplica, simReplicas)
 	for i := range replicas {
-		replicas[i] = &simReplica{free: make([]time.Duration, simPlaces)}
+		replicas[i] = &simReplica{free: make([]time.Duration, simSlots)}
 	}
-	mean := float64(simService) / (simReplicas * simPlaces * simLoad)
+	mean := float64(simService) / (simReplicas * simSlots * simLoad)
 	var running finishes
 	var times []time.Duration
 	now := time.Duration(0)
@@ -139,12 +138,12 @@
 		for len(running) > 0 && running[0].at <= now {
 			done := heap.Pop(&running).(finish)
 			r := replicas[done.replica]
-			r.note(done.at, done.host, -1)
+			r.addLoad(done.at, done.host, -1)
 		}
 		host := rnd.IntN(simHosts)
 		i := choose(replicas, host, now, lag, rnd)
 		end := replicas[i].start(now, time.Duration(rnd.ExpFloat64()*float64(simService)))
-		replicas[i].note(now, host, 1)
+		replicas[i].addLoad(now, host, 1)
 		heap.Push(&running, finish{end, i, host})
 		times = append(times, end-now)
 	}
@@ -152,7 +151,7 @@
 	return times[len(times)*99/100]
 }
 
-func (r *simReplica) note(at time.Duration, host, change int) {
+func (r *simReplica) addLoad(at time.Duration, host, change int) {
 	r.own[host] += change
 	r.ownLoad[host] = append(r.ownLoad[host], sample{at, r.own[host]})
 	load := change
@@ -162,7 +161,7 @@
 	r.load = append(r.load, sample{at, load})
 }
 
-// start takes the place that gets free first.
+// start runs a request in the slot that is free first and returns its end.
 func (r *simReplica) start(now, service time.Duration) time.Duration {
 	i := 0
 	for j := range r.free {
@@ -174,7 +173,7 @@
 	return r.free[i]
 }
 
-// BenchmarkLag reports the p99 of requests by how late load reports are.
+// BenchmarkLag reports the 99th percentile of the response time by the delay of load reports.
 func BenchmarkLag(b *testing.B) {
 	choosers := []struct {
 		name   string
@@ -192,11 +191,9 @@
 	}
 }
 
-// Many users ask about the same few documents. Each host sent their requests to any
-// replica, and every replica read each document anew, a fifth of all tokens read. Hosts
-// that do not speak with each other have to agree on the replica; one that is busier
-// than others is passed over.
-func TestSharedPromptsMeetAtOneReplica(t *testing.T) {
+// Hosts must send requests with the same affinity to the same replica without coordination, so
+// that its prompt cache is used, unless that replica is busier than another.
+func TestSameAffinitySelectsSameReplica(t *testing.T) {
 	is := is.New(t)
 	list := []routing.Candidate{{Replica: "a", Limit: 9}, {Replica: "b", Limit: 9}, {Replica: "c", Limit: 9}}
 	at := map[string]map[int]int{}
@@ -216,7 +213,7 @@
 			used[i] = true
 		}
 	}
-	is.Equal(len(used), 3) // documents spread over all replicas
+	is.Equal(len(used), 3) // keys spread over all replicas
 
 	for i := range list {
 		busy := slices.Clone(list)
@@ -229,10 +226,9 @@
 	}
 }
 
-// Bodies of requests are most of what goes between availability zones, which is dear,
-// though the own zone holds the model, too. A replica there is passed over only
-// when it is busier than another.
-func TestOwnZoneIsUsedFirst(t *testing.T) {
+// A replica in the host's own availability zone must be used unless it is busier than another,
+// to avoid traffic between zones.
+func TestOwnZoneIsPreferred(t *testing.T) {
 	is := is.New(t)
 	list := []routing.Candidate{
 		{Replica: "far-1", Zone: "b", Limit: 9},
