--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -1,4 +1,4 @@
-// Package retry bounds how often requests are sent to a second endpoint.
+// Package retry limits how often requests are sent to a second endpoint.
 package retry
 
 import (
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// slices is the number of parts into which a window is divided; the budget is
-// exact to one part.
+// slices is the number of slices of the sliding window.
 const slices = 20
 
-// Limits are the bounds of a budget, shared by all hosts.
+// Limits configures a budget that is shared by all hosts.
 type Limits struct {
-	// Ratio is the number of retries allowed for each request in a window.
+	// Ratio is the number of retries allowed per request in a window.
 	Ratio float64
-	// Extra is the number of retries that all hosts may add in a window.
+	// Extra is the number of additional retries allowed in a window, summed over all hosts.
 	Extra float64
-	// Window is the length over which both are counted.
+	// Window is the length of the sliding window.
 	Window time.Duration
 }
 
-// Budget is one host's part of a retry budget, per service. Each host keeps to
-// its own requests and an even share of the extra retries, so that the sum over
-// all hosts stays in bounds without any message between them.
+// Budget is one host's part of a retry budget, kept per service. Each host counts only its own
+// requests and uses an equal part of the extra retries, so that the sum over all hosts stays
+// within the limits without coordination. It is safe for concurrent use.
 type Budget struct {
 	limits Limits
-	// share is the part of the allowance that this host uses.
+	// share is the fraction of the allowed retries that this host uses.
 	share float64
 
 	mu       sync.Mutex
@@ -33,67 +32,66 @@
 	services map[string]*window
 }
 
-// window counts requests and retries in slices of the window.
+// window counts requests and retries in the slices of a sliding window.
 type window struct {
 	requests [slices]int
 	retries  [slices]int
 	slice    int64
 }
 
-// NewBudget returns a budget of which this host uses the given share, below 1
-// to leave room for late counting.
+// NewBudget returns a budget that uses the given share of the allowed retries. A share below 1
+// leaves a margin for counts that lag behind.
 func NewBudget(limits Limits, share float64) *Budget {
 	return &Budget{limits: limits, share: share, hosts: 1, services: map[string]*window{}}
 }
 
-// SetHosts tells among how many hosts the extra retries are divided.
+// SetHosts sets the number of hosts that share the extra retries.
 func (b *Budget) SetHosts(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.hosts = max(1, n)
 }
 
-// Request counts a client's request.
+// Request counts a client request.
 func (b *Budget) Request(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(now, service)
+	w := b.advance(now, service)
 	w.requests[w.slice%slices]++
 }
 
-// spareShare is the part of the budget that retries may use which are only a better
-// chance: a request that was given up at a slow endpoint had one. The rest is for requests
-// that an endpoint has rejected, and that nobody serves without a retry.
+// spareShare is the part of the budget that TakeSpare may use. The rest is reserved for
+// rejected requests, which cannot be served without a retry.
 const spareShare = 0.5
 
-// Take allows one retry, or none while the budget is used up.
+// Take takes one retry and reports whether the budget allows it.
 func (b *Budget) Take(now time.Time, service string) bool { return b.take(now, service, 1) }
 
-// TakeSpare allows a retry of a request that may still be answered without it, while
-// less than half of the budget is used, and the first one.
+// TakeSpare takes a retry for a request that may still be served without it, and reports
+// whether the budget allows it. It may use only part of the budget, but at least one retry.
 func (b *Budget) TakeSpare(now time.Time, service string) bool {
 	return b.take(now, service, spareShare)
 }
 
-func (b *Budget) take(now time.Time, service string, part float64) bool {
+func (b *Budget) take(now time.Time, service string, maxPart float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(now, service)
+	w := b.advance(now, service)
 	requests, retries := 0, 0
 	for i := range slices {
 		requests += w.requests[i]
 		retries += w.retries[i]
 	}
 	allowed := b.share * (b.limits.Ratio*float64(requests) + b.limits.Extra/float64(b.hosts))
-	if float64(retries+1) > min(allowed, max(1, part*allowed)) {
+	if float64(retries+1) > min(allowed, max(1, maxPart*allowed)) {
 		return false
 	}
 	w.retries[w.slice%slices]++
 	return true
 }
 
-// at returns the window of a service, moved on to now.
-func (b *Budget) at(now time.Time, service string) *window {
+// advance returns the window of a service, advanced to now. It must be called with mu held.
+func (b *Budget) advance(now time.Time, service string) *window {
 	slice := now.UnixNano() / int64(b.limits.Window/slices)
 	w := b.services[service]
 	if w == nil {
--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -14,10 +14,8 @@
 
 var limits = retry.Limits{Ratio: 0.2, Extra: 20, Window: 10 * time.Second}
 
-// Endpoints fail while clients repeat at once. Every host retries what it may;
-// together they send more retries than the service bears, and it stays down.
-// In no window may the hosts' retries exceed the ratio and the extra ones.
-func TestHostsTogetherKeepTheBudget(t *testing.T) {
+// In no window may the retries of all hosts together exceed the limits.
+func TestHostsTogetherStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(1, 6).Draw(t, "hosts")
 		budgets := make([]*retry.Budget, hosts)
@@ -38,13 +36,12 @@
 			}
 		}
 		for _, start := range retries {
-			// A window of the budget reaches back over whole slices only, so that
-			// the requests of one slice more may count.
+			// A window starts at a slice boundary, so requests of one more slice may count.
 			end := start.Add(limits.Window * 19 / 20)
 			n := count(retries, start, end)
 			allowed := limits.Extra + limits.Ratio*float64(count(requests, start.Add(-limits.Window), end))
 			if float64(n) > allowed {
-				t.Fatalf("%d retries from %v, %.1f are allowed", n, start, allowed)
+				t.Fatalf("%d retries in the window from %v, want at most %.1f", n, start, allowed)
 			}
 		}
 	})
@@ -60,19 +57,19 @@
 	return n
 }
 
-func TestBudgetsOfServicesAreApart(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	is := is.New(t)
 	b := retry.NewBudget(retry.Limits{Ratio: 0, Extra: 1, Window: time.Second}, 1)
 	now := time.Unix(5, 0)
 	is.True(b.Take(now, "a"))
 	is.True(!b.Take(now, "a"))
 	is.True(b.Take(now, "b"))
-	is.True(b.Take(now.Add(2*time.Second), "a")) // the window has moved on
+	is.True(b.Take(now.Add(2*time.Second), "a")) // in a later window
 }
 
-// A slow model makes hosts give tries up that may still be answered, and nothing is left for
-// requests that were rejected: their clients were refused after a single rejection.
-func TestSpareRetriesLeaveHalfOfTheBudget(t *testing.T) {
+// Retries of requests that may still be served must leave half of the budget to rejected
+// requests.
+func TestTakeSpareLeavesHalfOfBudget(t *testing.T) {
 	is := is.New(t)
 	b := retry.NewBudget(retry.Limits{Extra: 6, Window: time.Second}, 1)
 	now := time.Unix(5, 0)
