--- a/pkg/keepalive/bench_test.go
+++ b/pkg/keepalive/bench_test.go
@@ -11,17 +11,17 @@
 	"github.com/tealvane/tealvane/pkg/keepalive"
 )
 
-// series are the arrivals of one model.
+// series is the arrival times and the load time of one model.
 type series struct {
 	arrivals []time.Duration
 	load     time.Duration
 }
 
-const simulated = 7 * 24 * time.Hour
+const simulatedTime = 7 * 24 * time.Hour
 
-// workload draws the arrivals of a user's models: a third come in sessions
-// during the day, a third at random with rates from one a minute to one a day,
-// a third are scheduled jobs with some jitter.
+// workload generates the arrivals of a customer's models. One third come in sessions, one
+// third at random with rates from one a minute to one a day, and one third are scheduled jobs
+// with jitter.
 func workload(models int, seed uint64) []series {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	list := make([]series, models)
@@ -46,7 +46,7 @@
 func sessions(rnd *rand.Rand) (list []time.Duration) {
 	between := time.Duration(1+rnd.Float64()*12) * time.Hour
 	within := time.Duration(5+rnd.Float64()*55) * time.Second
-	for at := exponential(rnd, between); at < simulated; at += exponential(rnd, between) {
+	for at := exponential(rnd, between); at < simulatedTime; at += exponential(rnd, between) {
 		for range 1 + rnd.IntN(30) {
 			list = append(list, at)
 			at += exponential(rnd, within)
@@ -57,7 +57,7 @@
 
 func atRandom(rnd *rand.Rand) (list []time.Duration) {
 	mean := time.Duration(float64(time.Minute) * math.Pow(1440, rnd.Float64()))
-	for at := exponential(rnd, mean); at < simulated; at += exponential(rnd, mean) {
+	for at := exponential(rnd, mean); at < simulatedTime; at += exponential(rnd, mean) {
 		list = append(list, at)
 	}
 	return list
@@ -65,19 +65,20 @@
 
 func scheduled(rnd *rand.Rand) (list []time.Duration) {
 	period := []time.Duration{15 * time.Minute, time.Hour, 6 * time.Hour, 24 * time.Hour}[rnd.IntN(4)]
-	for at := exponential(rnd, period); at < simulated; at += period {
+	for at := exponential(rnd, period); at < simulatedTime; at += period {
 		list = append(list, at+time.Duration(rnd.Float64()*0.02*float64(period)))
 	}
 	return list
 }
 
-// outcome sums what a policy did.
+// outcome accumulates the results of a policy.
 type outcome struct {
 	idle  time.Duration
 	waits []float64
 }
 
-// run replays arrivals under a policy that chooses a plan after each request.
+// run replays the arrivals of a model under a policy. choose returns the plan to follow after
+// a request.
 func (o *outcome) run(s series, choose func(*keepalive.Gaps, time.Duration) keepalive.Plan) {
 	var gaps keepalive.Gaps
 	plan := choose(&gaps, s.load)
@@ -99,8 +100,8 @@
 	}
 }
 
-// idleTime is how long the model was loaded for nothing in a gap; the load
-// ahead counts too.
+// idleTime returns how long the model was loaded without serving a request in a gap, including
+// preloading.
 func idleTime(p keepalive.Plan, gap time.Duration) time.Duration {
 	idle := min(gap, p.Keep)
 	if p.WakeUntil > 0 {
@@ -137,24 +138,23 @@
 	}
 }
 
-// BenchmarkKeepAlive reports, for a week of both users' sizes of today, the
-// hours for which accelerators were loaded for nothing and the cold starts:
-// for fixed timeouts, and for the policy by what a cold start second costs.
+// BenchmarkKeepAlive reports idle accelerator hours and cold starts for a simulated week, for
+// fixed timeouts and for the policy by the cost of a second of cold start.
 func BenchmarkKeepAlive(b *testing.B) {
-	for _, user := range []struct {
+	for _, customer := range []struct {
 		name   string
 		models int
 	}{{"abay", 220}, {"alas", 105}} {
-		list := workload(user.models, 7)
+		list := workload(customer.models, 7)
 		for _, timeout := range []time.Duration{0, 30 * time.Second, 2 * time.Minute, 10 * time.Minute, time.Hour, 4 * time.Hour} {
-			b.Run(fmt.Sprintf("%s/fixed=%s", user.name, timeout), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/fixed=%s", customer.name, timeout), func(b *testing.B) {
 				benchmarkPolicy(b, list, func(*keepalive.Gaps, time.Duration) keepalive.Plan {
 					return keepalive.Plan{Keep: timeout}
 				})
 			})
 		}
 		for _, cold := range []float64{0.001, 0.01, 0.03, 0.1, 0.2, 1} {
-			b.Run(fmt.Sprintf("%s/policy=%g", user.name, cold), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/policy=%g", customer.name, cold), func(b *testing.B) {
 				benchmarkPolicy(b, list, func(g *keepalive.Gaps, load time.Duration) keepalive.Plan {
 					return g.Choose(keepalive.Cost{IdleHour: 1, ColdStartSecond: cold, Load: load}, 2*time.Minute)
 				})
--- a/pkg/keepalive/keepalive.go
+++ b/pkg/keepalive/keepalive.go
@@ -1,10 +1,10 @@
-// Package keepalive decides for how long an idle model stays loaded, and when
-// it is loaded ahead of its next request, from the gaps between its requests
-// and from what idle accelerators and cold starts cost by its contract.
+// Package keepalive decides how long an idle model stays loaded and when it is preloaded for
+// its next request. The decision is based on the gaps between its requests and on the
+// contract's costs of idle accelerators and cold starts.
 //
-// The policy has the form of a hybrid histogram: it keeps the model loaded for
-// a first time after each request, and loads it ahead for a window in which
-// the next one is expected. Both are chosen to cost least over the gaps seen.
+// The policy uses a histogram of the gaps. It either keeps the model loaded for a fixed time
+// after each request, or unloads it at once and preloads it for the window in which the next
+// request is expected, whichever would have cost least over the observed gaps.
 package keepalive
 
 import (
@@ -13,30 +13,26 @@
 )
 
 const (
-	// Buckets grow by a factor of two to the power of one quarter from a second to
-	// about a day, which is finer than the spread of most gaps.
+	// Bucket bounds grow from firstBucket by a factor of 2^(1/bucketsPerDouble).
 	firstBucket      = time.Second
 	bucketsPerDouble = 4
 	buckets          = 68
-	// enough is the number of gaps from which on they are trusted; before, the
-	// contract's keep-alive counts.
-	enough = 4
-	// decay halves the weight of a gap after about 45 newer ones, so that a
-	// model whose use changes is soon understood anew.
+	// minGaps is the number of gaps required to choose a plan from the histogram.
+	minGaps = 4
+	// decay is the factor applied to the weight of all earlier gaps when a gap is added.
 	decay = 0.985
 )
 
-// Cost says what an hour of idle accelerator and a second of cold start cost;
-// only their ratio matters.
+// Cost holds the costs of an hour of idle accelerator and of a second of cold start. Only
+// their ratio matters.
 type Cost struct {
 	IdleHour        float64
 	ColdStartSecond float64
-	// Load is how long a cold start takes.
+	// Load is the duration of a cold start.
 	Load time.Duration
 }
 
-// Gaps is the histogram of the gaps between the requests of one model. The
-// zero value is empty.
+// Gaps is a histogram of the gaps between the requests of one model. The zero value is empty.
 type Gaps struct {
 	weight [buckets + 1]float64
 	sum    [buckets + 1]float64
@@ -44,7 +40,7 @@
 	count  int
 }
 
-// Observe adds a gap between the end of a request and the next one.
+// Observe adds a gap between the end of a request and the next request.
 func (g *Gaps) Observe(gap time.Duration) {
 	for i := range g.weight {
 		g.weight[i] *= decay
@@ -65,69 +61,70 @@
 	return min(i, buckets)
 }
 
-// bound is the upper bound of a bucket; the last bucket has none.
-func bound(i int) time.Duration {
+// upperBound returns the upper bound of a bucket. It must not be called for the last bucket,
+// which is unbounded.
+func upperBound(i int) time.Duration {
 	return time.Duration(float64(firstBucket) * math.Pow(2, float64(i)/bucketsPerDouble))
 }
 
-// Plan says when a model is loaded after its last request: until Keep, and
-// again from WakeAt until WakeUntil unless WakeUntil is zero.
+// Plan says when a model is loaded after its last request: until Keep, and again from WakeAt
+// until WakeUntil if WakeUntil is not zero.
 type Plan struct {
 	Keep      time.Duration
 	WakeAt    time.Duration
 	WakeUntil time.Duration
 }
 
-// Loaded tells whether the model should be loaded when it has been idle for
-// that long.
+// Loaded reports whether the model should be loaded after it has been idle for the given time.
 func (p Plan) Loaded(idle time.Duration) bool {
 	return idle <= p.Keep || p.Ahead(idle)
 }
 
-// Ahead tells whether the model should be loaded ahead of its next request.
+// Ahead reports whether the model should be preloaded after it has been idle for the given
+// time.
 func (p Plan) Ahead(idle time.Duration) bool {
 	return p.WakeUntil > 0 && idle >= p.WakeAt && idle <= p.WakeUntil
 }
 
-// Choose returns the plan that would have cost least over the gaps seen. With
-// too few of them it keeps the model loaded for the fallback time.
+// Choose returns the plan that would have cost least over the observed gaps. With too few
+// gaps, it returns a plan that keeps the model loaded for the fallback time.
 func (g *Gaps) Choose(c Cost, fallback time.Duration) Plan {
-	if g.count < enough {
+	if g.count < minGaps {
 		return Plan{Keep: fallback}
 	}
-	t := g.tabulate(c)
+	t := g.prefixSums(c)
 	best, bestCost := Plan{}, math.Inf(1)
 	for i := -1; i < buckets; i++ {
-		if cost := t.keepOnly(i); cost < bestCost {
-			best, bestCost = Plan{Keep: t.upper(i)}, cost
+		if cost := t.keepCost(i); cost < bestCost {
+			best, bestCost = Plan{Keep: t.bucketEnd(i)}, cost
 		}
 	}
 	for from := 0; from < buckets; from++ {
 		for until := from + 1; until < buckets; until++ {
-			cost := t.window(from, until)
+			cost := t.preloadCost(from, until)
 			if cost >= bestCost {
 				continue
 			}
 			bestCost = cost
-			// The load must be over when the window opens.
-			wake := max(0, t.upper(from)-c.Load)
-			best = Plan{WakeAt: wake, WakeUntil: t.upper(until)}
+			// The load must complete before the window starts.
+			wake := max(0, t.bucketEnd(from)-c.Load)
+			best = Plan{WakeAt: wake, WakeUntil: t.bucketEnd(until)}
 		}
 	}
 	return best
 }
 
-// table holds running sums over the buckets, so that a plan is costed in
-// constant time.
+// table holds prefix sums over the buckets, so that the cost of a plan is computed in constant
+// time.
 type table struct {
 	cost Cost
-	// weight and seconds are sums over buckets 0 to i at index i+1.
+	// weight and seconds hold the sums over buckets 0 to i at index i+1.
 	weight  [buckets + 2]float64
 	seconds [buckets + 2]float64
 	total   float64
 }
 
-func (g *Gaps) tabulate(c Cost) *table {
+func (g *Gaps) prefixSums(c Cost) *table {
 	t := &table{cost: c, total: g.total}
 	for i := range g.weight {
 		t.weight[i+1] = t.weight[i] + g.weight[i]
@@ -136,34 +133,34 @@
 	return t
 }
 
-func (t *table) upper(i int) time.Duration {
+func (t *table) bucketEnd(i int) time.Duration {
 	if i < 0 {
 		return 0
 	}
-	return bound(i)
+	return upperBound(i)
 }
 
-func (t *table) idle(seconds float64) float64 { return seconds / 3600 * t.cost.IdleHour }
+func (t *table) idleCost(seconds float64) float64 { return seconds / 3600 * t.cost.IdleHour }
 
-func (t *table) cold(weight float64) float64 {
+func (t *table) coldStartCost(weight float64) float64 {
 	return weight * t.cost.Load.Seconds() * t.cost.ColdStartSecond
 }
 
-// keepOnly costs keeping the model loaded to the end of bucket i.
-func (t *table) keepOnly(i int) float64 {
+// keepCost returns the cost of keeping the model loaded up to the upper bound of bucket i.
+func (t *table) keepCost(i int) float64 {
 	inside := t.weight[i+1]
-	seconds := t.seconds[i+1] + (t.total-inside)*t.upper(i).Seconds()
-	return t.idle(seconds) + t.cold(t.total-inside)
+	seconds := t.seconds[i+1] + (t.total-inside)*t.bucketEnd(i).Seconds()
+	return t.idleCost(seconds) + t.coldStartCost(t.total-inside)
 }
 
-// window costs unloading at once and loading ahead for the buckets after
-// from up to until. The load itself occupies the accelerator too.
-func (t *table) window(from, until int) float64 {
-	start := t.upper(from).Seconds()
+// preloadCost returns the cost of unloading the model at once and preloading it for the
+// buckets after from up to until. The load itself also occupies the accelerator.
+func (t *table) preloadCost(from, until int) float64 {
+	start := t.bucketEnd(from).Seconds()
 	inside := t.weight[until+1] - t.weight[from+1]
 	after := t.total - t.weight[until+1]
 	seconds := t.seconds[until+1] - t.seconds[from+1] - inside*start
-	seconds += after * (t.upper(until).Seconds() - start)
+	seconds += after * (t.bucketEnd(until).Seconds() - start)
 	seconds += (inside + after) * t.cost.Load.Seconds()
-	return t.idle(seconds) + t.cold(t.total-inside)
+	return t.idleCost(seconds) + t.coldStartCost(t.total-inside)
 }
--- a/pkg/keepalive/keepalive_test.go
+++ b/pkg/keepalive/keepalive_test.go
@@ -9,30 +9,31 @@
 	"pgregory.net/rapid"
 )
 
-var even = keepalive.Cost{IdleHour: 1, ColdStartSecond: 0.05, Load: 5 * time.Second}
+var costs = keepalive.Cost{IdleHour: 1, ColdStartSecond: 0.05, Load: 5 * time.Second}
 
-func TestFewGapsUseTheContract(t *testing.T) {
+func TestFewGapsUseFallback(t *testing.T) {
 	is := is.New(t)
 	var g keepalive.Gaps
 	g.Observe(time.Hour)
-	is.Equal(g.Choose(even, time.Minute), keepalive.Plan{Keep: time.Minute})
+	is.Equal(g.Choose(costs, time.Minute), keepalive.Plan{Keep: time.Minute})
 }
 
-// A report that comes every hour is loaded ahead and not kept for the hour.
-func TestRegularGapsAreWokenAhead(t *testing.T) {
+// A model that is requested at a regular interval must be preloaded for the next request
+// instead of kept loaded.
+func TestRegularGapsArePreloaded(t *testing.T) {
 	is := is.New(t)
 	var g keepalive.Gaps
 	for range 30 {
 		g.Observe(time.Hour)
 	}
-	p := g.Choose(even, time.Minute)
+	p := g.Choose(costs, time.Minute)
 	is.True(p.Ahead(time.Hour))
 	is.True(!p.Loaded(20 * time.Minute))
-	is.True(p.WakeAt < time.Hour-even.Load)
+	is.True(p.WakeAt < time.Hour-costs.Load)
 }
 
-// Requests that come in sessions are kept for the session only.
-func TestSessionsAreKept(t *testing.T) {
+// A model that is used in sessions must stay loaded during a session only.
+func TestModelStaysLoadedDuringSession(t *testing.T) {
 	is := is.New(t)
 	var g keepalive.Gaps
 	for i := range 100 {
@@ -42,13 +43,12 @@
 		}
 		g.Observe(gap)
 	}
-	p := g.Choose(even, time.Minute)
+	p := g.Choose(costs, time.Minute)
 	is.True(p.Loaded(20 * time.Second))
 	is.True(!p.Loaded(30 * time.Minute))
 }
 
-// Whatever the gaps: dearer cold starts never shorten the time kept by more
-// than they win, plans are well formed, and the choice is a function of its input.
+// Plans must be well formed and depend only on the observed gaps and costs.
 func TestPlansAreWellFormed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g keepalive.Gaps
@@ -62,10 +62,10 @@
 		}
 		p := g.Choose(c, time.Minute)
 		if p.Keep < 0 || p.WakeAt < 0 || p.WakeUntil > 0 && p.WakeUntil <= p.WakeAt {
-			t.Fatalf("%+v", p)
+			t.Fatalf("plan is not well formed: %+v", p)
 		}
 		if p != g.Choose(c, time.Minute) {
-			t.Fatal("two choices differ")
+			t.Fatalf("Choose returned %+v and then a different plan for the same gaps and costs", p)
 		}
 	})
 }
