--- a/pkg/upstream/conn.go
+++ b/pkg/upstream/conn.go
@@ -1,7 +1,6 @@
-// Package upstream keeps HTTP/1.1 connections to endpoints and sends each
-// request exactly once. The transport of net/http is not used: it repeats some
-// requests by itself when a reused connection breaks, and a request that must
-// not run twice would run twice.
+// Package upstream maintains HTTP/1.1 connections to endpoints and sends each request exactly
+// once. It does not use the transport of net/http, which resends some requests when a reused
+// connection breaks, so that a request that must not run twice could run twice.
 package upstream
 
 import (
@@ -15,20 +14,19 @@
 )
 
 const (
-	// dialTimeout bounds the setup of a connection. A round trip takes a few
-	// milliseconds; a lost opening packet is sent again after a second.
+	// dialTimeout covers one retransmission of the SYN packet.
 	dialTimeout = 1500 * time.Millisecond
-	// userTimeout closes a connection whose bytes are not acknowledged. A host
-	// behind a partition answers nothing, and reads would hang without it.
+	// userTimeout closes a connection whose data is not acknowledged, so that reads do not
+	// block while the endpoint is partitioned.
 	userTimeout = 2 * time.Second
-	// keepAliveIdle and keepAliveInterval find idle connections that fell silent.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount configure TCP keep-alive probes.
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 	readBuffer        = 8 << 10
 )
 
-// Dial opens a TCP connection that notices a silent peer.
+// Dial opens a TCP connection that detects an unresponsive peer.
 func Dial(ctx context.Context, addr string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
@@ -39,14 +37,14 @@
 			Count:    keepAliveCount,
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
-			var failed error
+			var sockErr error
 			err := c.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+				sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return sockErr
 		},
 	}
 	return dialer.DialContext(ctx, "tcp", addr)
@@ -56,15 +54,15 @@
 type conn struct {
 	net.Conn
 	in *bufio.Reader
-	// expires is when the endpoint may close the idle connection.
+	// expires is the time until which the idle connection may be reused.
 	expires time.Time
 	used    bool
 }
 
-// quiet tells whether an idle connection is open and has nothing to read.
-// Bytes that came without a request belong to no request, and a connection that
-// the endpoint has closed would fail a request whose outcome is then unknown.
-func (c *conn) quiet() bool {
+// reusable reports whether an idle connection is open and has no data to read. Unread data
+// does not belong to the next request, and the outcome of a request on a closed connection
+// would be unknown.
+func (c *conn) reusable() bool {
 	if c.in.Buffered() > 0 {
 		return false
 	}
@@ -76,12 +74,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		reusable = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -14,42 +14,43 @@
 )
 
 const (
-	// defaultIdle is how long a connection is kept when the endpoint does not
-	// state its timeout: it may then be below one second.
-	defaultIdle = 400 * time.Millisecond
-	// idleMargin is kept from a stated idle timeout, so that no request crosses
-	// the endpoint's close.
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint does not state
+	// a timeout.
+	defaultIdleTimeout = 400 * time.Millisecond
+	// idleMargin is subtracted from a stated idle timeout, so that no request is sent while
+	// the endpoint closes the connection.
 	idleMargin = 600 * time.Millisecond
-	// inlineBody is the size up to which a body is written before the answer is
-	// read. A longer one is written beside: an endpoint may answer early and
-	// stop reading, and the write would block for ever.
-	inlineBody = 8 << 10
-	// maxStray bounds the answers to earlier requests that are skipped.
-	maxStray = 2
-	// maxStrayBytes bounds the body of such an answer.
+	// maxInlineBody is the size up to which a request body is written before the response is
+	// read. A longer body is written concurrently, since an endpoint may respond early and
+	// stop reading.
+	maxInlineBody = 8 << 10
+	// maxStrayResponses is the number of responses to earlier requests that are skipped.
+	maxStrayResponses = 2
+	// maxStrayBytes limits the size of the body of such a response.
 	maxStrayBytes = 1 << 20
 )
 
 var (
-	// ErrNotSent means that no byte of the request has left this host.
+	// ErrNotSent is returned if no byte of the request was sent.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrUnreachable means that no connection could be made; nothing was sent.
+	// ErrUnreachable is returned if no connection could be made. It wraps ErrNotSent.
 	ErrUnreachable = errors.Wrap(ErrNotSent, "no connection")
-	// ErrFull means that all connections to the endpoint are in use.
+	// ErrFull is returned if all connections to the endpoint are in use. It wraps ErrNotSent.
 	ErrFull = errors.Wrap(ErrNotSent, "all connections are in use")
-	// ErrForeign means that the connection brought answers to other requests only.
-	ErrForeign = errors.New("answer belongs to another request")
+	// ErrForeign is returned if the connection carried only responses to other requests.
+	ErrForeign = errors.New("response belongs to another request")
 )
 
-// Request is a request as it goes on the wire.
+// Request is an HTTP request.
 type Request struct {
 	Method string
-	// Target is the path and query as the client sent them.
+	// Target is the path and query exactly as sent by the client.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Own tells whether an answer belongs to this request; nil takes any.
+	// Own reports whether a response with the given header and status belongs to this request.
+	// If nil, any response does.
 	Own func(http.Header, int) bool
 }
 
@@ -62,37 +63,37 @@
 	idle  []*conn
 	open  int
 	limit int
-	// opened counts the connections made, for metrics.
+	// opened counts all connections made, for metrics.
 	opened int
 	closed bool
 }
 
-// NewPool returns an empty pool for an address.
+// NewPool returns an empty pool for an address with a limit on open connections.
 func NewPool(addr string, limit int, now func() time.Time) *Pool {
 	return &Pool{addr: addr, limit: limit, now: now}
 }
 
-// SetLimit changes how many connections may be open.
+// SetLimit sets the maximum number of open connections.
 func (p *Pool) SetLimit(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = n
 }
 
-// Opened returns how many connections were made.
+// Opened returns the number of connections made.
 func (p *Pool) Opened() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Close closes idle connections now and others after their request.
+// Close closes idle connections at once and the others after their request.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	for _, c := range p.idle {
-		_ = c.Close() // Nothing is in flight on an idle connection.
+		_ = c.Close() // No request is in flight on an idle connection.
 	}
 	p.open -= len(p.idle)
 	p.idle = nil
@@ -112,17 +113,17 @@
 	p.mu.Unlock()
 	raw, err := Dial(ctx, p.addr)
 	if err != nil {
-		p.forget()
+		p.decrementOpen()
 		err = errors.Mark(errors.Wrap(err, "connect"), ErrNotSent)
 		if errors.Is(ctx.Err(), context.Canceled) {
-			return nil, err // The caller has gone; that tells nothing of the endpoint.
+			return nil, err // The caller canceled the request; the endpoint may be reachable.
 		}
 		return nil, errors.Mark(err, ErrUnreachable)
 	}
 	return &conn{Conn: raw, in: bufio.NewReaderSize(raw, readBuffer)}, nil
 }
 
-// takeIdle returns the connection used last, whose state is best known.
+// takeIdle returns the most recently used idle connection that is reusable, or nil.
 func (p *Pool) takeIdle() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,25 +131,25 @@
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.Before(c.expires) && c.quiet() {
+		if now.Before(c.expires) && c.reusable() {
 			return c
 		}
-		_ = c.Close() // It is expired or broken already.
+		_ = c.Close() // The connection has expired or is broken.
 		p.open--
 	}
 	return nil
 }
 
-func (p *Pool) forget() {
+func (p *Pool) decrementOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// discard closes a connection that cannot be used again.
+// discard closes a connection that cannot be reused.
 func (p *Pool) discard(c *conn) {
-	_ = c.Close() // Its request has failed or ended already.
-	p.forget()
+	_ = c.Close() // Its request has failed or ended.
+	p.decrementOpen()
 }
 
 func (p *Pool) put(c *conn, idle time.Duration) {
@@ -164,8 +165,9 @@
 	p.idle = append(p.idle, c)
 }
 
-// idleTime returns how long the connection of an answer may be kept idle.
-func idleTime(r *http.Response) time.Duration {
+// idleTimeout returns how long the connection of a response may be kept idle, or 0 if it must
+// be closed.
+func idleTimeout(r *http.Response) time.Duration {
 	if r.Close {
 		return 0
 	}
@@ -176,16 +178,16 @@
 		}
 		seconds, err := strconv.Atoi(value)
 		if err != nil || seconds <= 0 {
-			return defaultIdle
+			return defaultIdleTimeout
 		}
-		return max(defaultIdle, time.Duration(seconds)*time.Second-idleMargin)
+		return max(defaultIdleTimeout, time.Duration(seconds)*time.Second-idleMargin)
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
-// Do sends a request once and returns the head of its answer. An error that is
-// ErrNotSent means that nothing was sent; with any other the request may run.
-// Cancelling ctx closes the connection, which tells the endpoint to stop.
+// Do sends a request once and returns the head of the response. An error marked ErrNotSent
+// means that nothing was sent. After any other error the request may run. Canceling ctx closes
+// the connection, which tells the endpoint to stop.
 func (p *Pool) Do(ctx context.Context, r Request) (*http.Response, error) {
 	c, err := p.get(ctx)
 	if err != nil {
@@ -193,21 +195,21 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	written := make(chan error, 1)
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBody {
 		written <- write(c, r)
 	} else {
 		go func() { written <- write(c, r) }()
 	}
-	resp, err := readOwn(c, r)
+	resp, err := readOwnResponse(c, r)
 	if err != nil {
 		stop()
 		p.discard(c)
 		if ctx.Err() != nil {
-			return nil, errors.Wrap(ctx.Err(), "request was cancelled")
+			return nil, errors.Wrap(ctx.Err(), "request was canceled")
 		}
-		return nil, errors.Wrap(err, "read answer")
+		return nil, errors.Wrap(err, "read response")
 	}
-	resp.Body = &body{ReadCloser: resp.Body, pool: p, conn: c, stop: stop, written: written, idle: idleTime(resp)}
+	resp.Body = &body{ReadCloser: resp.Body, pool: p, conn: c, stop: stop, written: written, idle: idleTimeout(resp)}
 	return resp, nil
 }
 
@@ -221,15 +223,15 @@
 		_, _ = out.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	_, _ = out.WriteString("\r\n")
-	// Errors of a buffered writer stick; the flush returns the first.
+	// Flush returns the first error of the buffered writer.
 	_, _ = out.Write(r.Body)
 	return out.Flush()
 }
 
-// readOwn reads the head of the answer to r. A late answer to an earlier
-// request may stand before it on a reused connection; it is skipped.
-func readOwn(c *conn, r Request) (*http.Response, error) {
-	for range maxStray + 1 {
+// readOwnResponse reads the head of the response to r. It skips late responses to earlier
+// requests on a reused connection.
+func readOwnResponse(c *conn, r Request) (*http.Response, error) {
+	for range maxStrayResponses + 1 {
 		resp, err := readHead(c, r.Method)
 		if err != nil {
 			return nil, err
@@ -257,7 +259,7 @@
 	}
 }
 
-// body returns the connection to its pool when it was read to its end.
+// body returns its connection to the pool if it was read to the end.
 type body struct {
 	io.ReadCloser
 	pool    *Pool
@@ -269,7 +271,7 @@
 	once    sync.Once
 }
 
-// Read implements io.Reader. It returns io.EOF only after the whole body.
+// Read implements io.Reader. It returns io.EOF only after the complete body.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
@@ -278,8 +280,8 @@
 	return n, err
 }
 
-// Close implements io.Closer. A body that was not read to its end closes its
-// connection, and the endpoint drops the request.
+// Close implements io.Closer. If the body was not read to the end, Close closes the
+// connection, which tells the endpoint to stop.
 func (b *body) Close() error {
 	b.once.Do(func() {
 		reusable := b.stop() && b.ended && b.idle > 0
@@ -288,7 +290,7 @@
 			case err := <-b.written:
 				reusable = err == nil
 			default:
-				// The rest of the request is still due on the connection.
+				// The request is not completely written.
 				reusable = false
 			}
 		}
--- a/pkg/upstream/pool_test.go
+++ b/pkg/upstream/pool_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"context"
-
 	"fmt"
 	"io"
 	"net"
@@ -18,8 +17,9 @@
 	"github.com/tealvane/tealvane/pkg/upstream"
 )
 
-// raw serves connections by hand; script gets each request's head and body.
-func raw(t *testing.T, script func(c net.Conn, n int, r *http.Request)) (addr string, conns *atomic.Int32) {
+// serveRaw listens on a local port and calls script for the n-th request of a connection. It
+// returns the address and the number of accepted connections.
+func serveRaw(t *testing.T, script func(c net.Conn, n int, r *http.Request)) (addr string, conns *atomic.Int32) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,7 +54,7 @@
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n%s\r\n%s", id, len(body), strings.Join(headers, ""), body)
 }
 
-func ask(t *testing.T, p *upstream.Pool, id, body string) (string, error) {
+func doRequest(t *testing.T, p *upstream.Pool, id, body string) (string, error) {
 	t.Helper()
 	resp, err := p.Do(context.Background(), upstream.Request{
 		Method: http.MethodPost,
@@ -71,9 +71,9 @@
 	return string(data), errors.CombineErrors(err, resp.Body.Close())
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	addr, conns := raw(t, func(c net.Conn, _ int, r *http.Request) {
+	addr, conns := serveRaw(t, func(c net.Conn, _ int, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
@@ -82,18 +82,18 @@
 	})
 	p := upstream.NewPool(addr, 4, time.Now)
 	for i := range 3 {
-		got, err := ask(t, p, fmt.Sprint(i), "body")
+		got, err := doRequest(t, p, fmt.Sprint(i), "body")
 		is.NoErr(err)
-		is.Equal(got, "/a%2Fb?q=%20body") // the target goes out to the byte
+		is.Equal(got, "/a%2Fb?q=%20body") // the target is sent unchanged
 	}
 	is.Equal(conns.Load(), int32(1))
 }
 
-// An endpoint answers a request twice. The second copy stands on the connection
-// where the next request's answer is due; its client would get another's answer.
-func TestStrayAnswerIsSkipped(t *testing.T) {
+// A duplicate response on a reused connection must not be taken for the response to the next
+// request.
+func TestStrayResponseIsSkipped(t *testing.T) {
 	is := is.New(t)
-	addr, _ := raw(t, func(c net.Conn, n int, r *http.Request) {
+	addr, _ := serveRaw(t, func(c net.Conn, n int, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if n == 1 {
 			reply(c, "first", "answer to another request")
@@ -101,19 +101,18 @@
 		reply(c, r.Header.Get("X-Id"), "mine")
 	})
 	p := upstream.NewPool(addr, 4, time.Now)
-	_, err := ask(t, p, "first", "")
+	_, err := doRequest(t, p, "first", "")
 	is.NoErr(err)
-	got, err := ask(t, p, "second", "")
+	got, err := doRequest(t, p, "second", "")
 	is.NoErr(err)
 	is.Equal(got, "mine")
 }
 
-// A kept connection breaks as a request goes out on it. Sent again on a new
-// connection, as net/http does for some, it could run twice.
-func TestRequestIsNeverRepeated(t *testing.T) {
+// A request must not be sent again if the reused connection breaks, since it may have run.
+func TestRequestIsNeverResent(t *testing.T) {
 	is := is.New(t)
 	var seen atomic.Int32
-	addr, conns := raw(t, func(c net.Conn, n int, r *http.Request) {
+	addr, conns := serveRaw(t, func(c net.Conn, n int, r *http.Request) {
 		seen.Add(1)
 		_, _ = io.Copy(io.Discard, r.Body)
 		if n == 0 {
@@ -123,21 +122,21 @@
 		_ = c.Close()
 	})
 	p := upstream.NewPool(addr, 4, time.Now)
-	_, err := ask(t, p, "1", "")
+	_, err := doRequest(t, p, "1", "")
 	is.NoErr(err)
-	_, err = ask(t, p, "2", "")
+	_, err = doRequest(t, p, "2", "")
 	is.True(err != nil)
 	is.True(!errors.Is(err, upstream.ErrNotSent)) // it may have run
 	is.Equal(seen.Load(), int32(2))
 	is.Equal(conns.Load(), int32(1))
 }
 
-// An endpoint answers before it has read a long body and reads on later. A next
-// request on that connection would be taken for the rest of the body.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// A connection must not be reused after a response that arrives before the request body is
+// completely written.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	addr, conns := raw(t, func(c net.Conn, _ int, r *http.Request) {
+	addr, conns := serveRaw(t, func(c net.Conn, _ int, r *http.Request) {
 		if r.ContentLength < 1<<20 {
 			reply(c, r.Header.Get("X-Id"), "short")
 			return
@@ -147,19 +146,20 @@
 	})
 	defer close(release)
 	p := upstream.NewPool(addr, 4, time.Now)
-	got, err := ask(t, p, "1", strings.Repeat("x", 8<<20))
+	got, err := doRequest(t, p, "1", strings.Repeat("x", 8<<20))
 	is.NoErr(err)
 	is.Equal(got, "early")
-	got, err = ask(t, p, "2", "")
+	got, err = doRequest(t, p, "2", "")
 	is.NoErr(err)
 	is.Equal(got, "short")
 	is.Equal(conns.Load(), int32(2))
 }
 
-// An answer with a length breaks off; one without ends with its connection.
-func TestBrokenBodyIsNoEnd(t *testing.T) {
+// A response shorter than its Content-Length must return an error. One without a length ends
+// with its connection.
+func TestTruncatedBodyReturnsError(t *testing.T) {
 	is := is.New(t)
-	addr, _ := raw(t, func(c net.Conn, _ int, r *http.Request) {
+	addr, _ := serveRaw(t, func(c net.Conn, _ int, r *http.Request) {
 		id := r.Header.Get("X-Id")
 		if id == "cut" {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: cut\r\nContent-Length: 100\r\n\r\npart")
@@ -169,17 +169,17 @@
 		_ = c.(*net.TCPConn).CloseWrite()
 	})
 	p := upstream.NewPool(addr, 4, time.Now)
-	_, err := ask(t, p, "cut", "")
+	_, err := doRequest(t, p, "cut", "")
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
-	got, err := ask(t, p, "open", "")
+	got, err := doRequest(t, p, "open", "")
 	is.NoErr(err)
 	is.Equal(got, "whole")
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	started, release := make(chan struct{}), make(chan struct{})
-	addr, _ := raw(t, func(c net.Conn, _ int, r *http.Request) {
+	addr, _ := serveRaw(t, func(c net.Conn, _ int, r *http.Request) {
 		close(started)
 		<-release
 		reply(c, r.Header.Get("X-Id"), "done")
@@ -187,23 +187,23 @@
 	p := upstream.NewPool(addr, 1, time.Now)
 	done := make(chan error)
 	go func() {
-		_, err := ask(t, p, "1", "")
+		_, err := doRequest(t, p, "1", "")
 		done <- err
 	}()
 	<-started
-	_, err := ask(t, p, "2", "")
+	_, err := doRequest(t, p, "2", "")
 	is.True(errors.Is(err, upstream.ErrFull))
 	is.True(errors.Is(err, upstream.ErrNotSent))
 	close(release)
 	is.NoErr(<-done)
 }
 
-func TestRefusedConnectionWasNotSent(t *testing.T) {
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	addr := l.Addr().String()
 	is.NoErr(l.Close())
-	_, err = ask(t, upstream.NewPool(addr, 1, time.Now), "1", "")
+	_, err = doRequest(t, upstream.NewPool(addr, 1, time.Now), "1", "")
 	is.True(errors.Is(err, upstream.ErrNotSent))
 }
