--- a/pkg/dispatch/bench_test.go
+++ b/pkg/dispatch/bench_test.go
@@ -13,10 +13,10 @@
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-// appendTime is the time in which the log answers and the fold sees a record.
+// appendTime is the simulated duration of an append to the log.
 const appendTime = 4 * time.Millisecond
 
-// foldAppender folds records at once, after the time of an append.
+// foldAppender applies records to the state after appendTime.
 type foldAppender struct {
 	mu sync.Mutex
 	st *state.State
@@ -34,8 +34,8 @@
 	return out, err
 }
 
-// BenchmarkAppends reports the appends per second of one host, and how long a
-// claim takes, by the rate of non-idempotent requests.
+// BenchmarkAppends reports the appends per second of one host and the duration of a claim, by
+// the rate of non-idempotent requests.
 func BenchmarkAppends(b *testing.B) {
 	for _, rate := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
--- a/pkg/dispatch/ledger.go
+++ b/pkg/dispatch/ledger.go
@@ -1,7 +1,6 @@
-// Package dispatch makes non-idempotent requests run at most once. A request
-// is sent to an endpoint only after its idempotency key was claimed by a
-// record in the log; the first claim wins on all hosts. Many claims and
-// outcomes share one record.
+// Package dispatch runs non-idempotent requests at most once. A request is sent to an endpoint
+// only after its idempotency key was claimed by a record in the log. The first claim in the
+// log is valid for all hosts. Claims and outcomes are appended in batches.
 package dispatch
 
 import (
@@ -15,50 +14,50 @@
 )
 
 const (
-	// maxBatch bounds the entries of one record; outcomes are bounded by bytes too.
+	// maxBatch limits the operations of one record, maxBatchBytes the size of its outcomes.
 	maxBatch = 200
-	// MaxOutcomeBytes bounds an answer that is kept for repeats.
+	// MaxOutcomeBytes limits the size of a response body that is kept for repeated requests.
 	MaxOutcomeBytes = 32 << 10
 	maxBatchBytes   = 128 << 10
-	// stuckAfter is how long a batch may stay unsettled before new claims are
-	// refused at once instead of waiting behind it.
-	stuckAfter = time.Second
+	// batchStallTimeout is how long a batch may be pending before new claims are refused at once.
+	batchStallTimeout = time.Second
 )
 
 var (
-	// ErrUnavailable means that the key was not claimed for this request, and
-	// the request must not be sent.
+	// ErrUnavailable is returned if the key could not be claimed. The request must not be
+	// sent.
 	ErrUnavailable = errors.New("the log is out of reach")
-	// ErrTaken means that another attempt holds the key; its outcome is unknown.
+	// ErrTaken is returned if another attempt holds the key. Its outcome is unknown.
 	ErrTaken = errors.New("the key is taken, its outcome is unknown")
-	// ErrExpired means that the key is older than what is kept.
+	// ErrExpired is returned if the key is older than the retention period of keys.
 	ErrExpired = errors.New("the key is older than the kept keys")
-	// ErrMismatch means that the key was used for another request.
+	// ErrMismatch is returned if the key was used for a different request.
 	ErrMismatch = errors.New("the key was used for another request")
 )
 
-// Appender appends a record and returns what the fold decided.
+// Appender appends a record to the log and returns the outcome of applying it to the state.
 type Appender interface {
 	Append(ctx context.Context, r record.Record) (state.Outcome, error)
 }
 
-// Ledger claims keys for one host.
+// Ledger claims idempotency keys for one host. It is safe for concurrent use.
 type Ledger struct {
 	self     record.HostRef
 	appender Appender
 	keys     *state.Keys
 	now      func() time.Time
 
-	mu       sync.Mutex
-	queue    []*operation
-	wake     chan struct{}
-	active   map[record.Key]bool
-	sentAt   time.Time
-	batches  int
-	interval time.Duration
+	mu           sync.Mutex
+	queue        []*operation
+	wake         chan struct{}
+	active       map[record.Key]bool
+	pendingSince time.Time
+	batches      int
+	interval     time.Duration
 }
 
-// operation is one entry of a batch. done is nil when nobody waits.
+// operation is one entry of a batch. done is closed when the batch is committed. It is nil if
+// no caller waits.
 type operation struct {
 	claim     *record.KeyClaim
 	outcome   *record.KeyOutcome
@@ -80,11 +79,11 @@
 	}
 }
 
-// Claim takes a key for a request with the given digest. When the request was
-// answered before, its outcome is returned. With a nil error and outcome the
-// caller owns the key and must call Finish or Release.
+// Claim claims a key for a request with the given digest. If the request was completed before,
+// Claim returns its outcome. If both results are nil, the caller owns the key and must call
+// Finish or Release.
 func (l *Ledger) Claim(ctx context.Context, key record.Key, digest uint64) (*record.KeyOutcome, error) {
-	if outcome, err := l.known(key, digest); outcome != nil || err != nil {
+	if outcome, err := l.lookup(key, digest); outcome != nil || err != nil {
 		return outcome, err
 	}
 	op := &operation{
@@ -105,18 +104,19 @@
 	if entry.State == state.KeyClaimed && entry.Holder == l.self && entry.Attempt == op.claim.Attempt {
 		return nil, nil
 	}
-	l.leave(key)
-	outcome, err := l.known(key, digest)
+	l.deactivate(key)
+	outcome, err := l.lookup(key, digest)
 	if outcome == nil && err == nil {
-		// The claim was void and the key is free again: another attempt claimed
-		// and released it in between. Nobody has claimed it for this request.
+		// The claim had no effect and the key is free again: another attempt claimed and
+		// released it concurrently.
 		err = ErrUnavailable
 	}
 	return outcome, err
 }
 
-// known tells what the fold says of a key; all is nil for a free key.
-func (l *Ledger) known(key record.Key, digest uint64) (*record.KeyOutcome, error) {
+// lookup returns the outcome or error of a key according to the state, or nil for both if the
+// key is free.
+func (l *Ledger) lookup(key record.Key, digest uint64) (*record.KeyOutcome, error) {
 	entry := l.keys.Get(key)
 	if entry.State == state.KeyExpired {
 		return nil, ErrExpired
@@ -133,15 +133,15 @@
 	return nil, ErrTaken
 }
 
-// submitClaim queues a claim unless the same key is in use on this host: both
-// would see the one claim in the fold as their own and run the request twice.
+// submitClaim queues a claim unless the same key is in use on this host. Otherwise two
+// requests would treat the same claim as their own, and both would run.
 func (l *Ledger) submitClaim(op *operation) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.active[op.claim.Key] {
 		return ErrTaken
 	}
-	if !l.sentAt.IsZero() && l.now().Sub(l.sentAt) > stuckAfter {
+	if !l.pendingSince.IsZero() && l.now().Sub(l.pendingSince) > batchStallTimeout {
 		return ErrUnavailable
 	}
 	l.active[op.claim.Key] = true
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// abandon gives a claim up whose request ended first. It reports false when
-// the claim was settled in the meantime.
+// abandon marks a claim whose request was canceled. It returns false if the claim was
+// committed in the meantime.
 func (l *Ledger) abandon(op *operation) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -175,7 +175,7 @@
 	l.enqueue(&operation{outcome: &outcome})
 }
 
-// Release gives a key back whose request was certainly not sent.
+// Release releases the key of a request that was certainly not sent.
 func (l *Ledger) Release(key record.Key) {
 	attempt := l.keys.Get(key).Attempt
 	l.mu.Lock()
@@ -184,7 +184,7 @@
 	l.enqueue(&operation{release: &record.KeyRelease{Key: key, Attempt: attempt}})
 }
 
-func (l *Ledger) leave(key record.Key) {
+func (l *Ledger) deactivate(key record.Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.active, key)
@@ -198,25 +198,25 @@
 	}
 }
 
-// Pending counts the operations that are not in the log yet.
+// Pending returns the number of queued operations, plus one if a batch is being appended.
 func (l *Ledger) Pending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := len(l.queue)
-	if !l.sentAt.IsZero() {
+	if !l.pendingSince.IsZero() {
 		n++
 	}
 	return n
 }
 
-// Batches counts the records appended.
+// Batches returns the number of batches that were started.
 func (l *Ledger) Batches() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.batches
 }
 
-// Run appends batches until ctx ends.
+// Run appends batches until ctx is done.
 func (l *Ledger) Run(ctx context.Context) {
 	for {
 		select {
@@ -224,7 +224,7 @@
 			return
 		case <-l.wake:
 		}
-		for batch := l.take(); len(batch) > 0; batch = l.take() {
+		for batch := l.nextBatch(); len(batch) > 0; batch = l.nextBatch() {
 			if !l.append(ctx, batch) {
 				return
 			}
@@ -236,7 +236,7 @@
 	}
 }
 
-func (l *Ledger) take() []*operation {
+func (l *Ledger) nextBatch() []*operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bytes, n := 0, 0
@@ -249,14 +249,14 @@
 	batch := l.queue[:n:n]
 	l.queue = l.queue[n:]
 	if n > 0 {
-		l.sentAt = l.now()
+		l.pendingSince = l.now()
 		l.batches++
 	}
 	return batch
 }
 
-// append settles one batch. It keeps trying with the same record until the
-// fold has seen it, since its operations depend on it.
+// append appends one batch and reports whether it was committed. It retries with the same
+// record until it succeeds or ctx is done.
 func (l *Ledger) append(ctx context.Context, batch []*operation) bool {
 	d := record.Dispatch{Holder: l.self}
 	for _, op := range batch {
@@ -279,16 +279,16 @@
 			break
 		}
 	}
-	l.settle(batch)
+	l.complete(batch)
 	return true
 }
 
-// settle wakes the waiting requests and gives back the keys of those that
-// ended before.
-func (l *Ledger) settle(batch []*operation) {
+// complete notifies the waiting callers of a committed batch and releases the keys of abandoned
+// claims.
+func (l *Ledger) complete(batch []*operation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sentAt = time.Time{}
+	l.pendingSince = time.Time{}
 	for _, op := range batch {
 		if op.done == nil {
 			continue
