--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -78,14 +78,14 @@
 	}{
 		{"free slot", admission.Situation{Slots: 1}, second, admission.ReasonNone, 0},
 		{"deadline has passed", admission.Situation{Slots: 1}, 0, admission.ReasonDeadline, 0},
-		{"nobody can load", admission.Situation{LoadTime: second}, 9 * second, admission.ReasonNoDecision, 0},
-		{"load fits", admission.Situation{LoadTime: second, CanLoad: true}, 2 * second, admission.ReasonNone, 0},
-		{"load does not fit", admission.Situation{LoadTime: 3 * second, CanLoad: true}, 2 * second, admission.ReasonLoad, 0},
-		{"load fits without spare time", admission.Situation{LoadTime: 2 * second, CanLoad: true}, 2 * second, admission.ReasonLoad, 0},
+		{"no load can be started", admission.Situation{LoadTime: second}, 9 * second, admission.ReasonNoDecision, 0},
+		{"load finishes in time", admission.Situation{LoadTime: second, CanLoad: true}, 2 * second, admission.ReasonNone, 0},
+		{"load finishes too late", admission.Situation{LoadTime: 3 * second, CanLoad: true}, 2 * second, admission.ReasonLoad, 0},
+		{"load finishes in time without spare time", admission.Situation{LoadTime: 2 * second, CanLoad: true}, 2 * second, admission.ReasonLoad, 0},
 		{"load is nearly done", admission.Situation{LoadTime: 9 * second, Loading: true, LoadElapsed: 8 * second}, 2 * second, admission.ReasonNone, 0},
 		{"load is overdue", admission.Situation{LoadTime: second, Loading: true, LoadElapsed: 8 * second}, second, admission.ReasonLoad, 0},
-		{"queue fits", admission.Situation{Slots: 2, Ahead: 4, Service: second}, 3 * second, admission.ReasonNone, 0},
-		{"queue fits a low rank only", admission.Situation{Slots: 2, Ahead: 4, Service: second}, 3 * second, admission.ReasonQueue, 4},
+		{"queue is short enough", admission.Situation{Slots: 2, Ahead: 4, Service: second}, 3 * second, admission.ReasonNone, 0},
+		{"queue is short enough for a lower rank only", admission.Situation{Slots: 2, Ahead: 4, Service: second}, 3 * second, admission.ReasonQueue, 4},
 		{"queue is too long", admission.Situation{Slots: 2, Ahead: 8, Service: second}, 3 * second, admission.ReasonQueue, 0},
 	} {
 		if got, retryAfter := admission.Admit(c.s, c.left, c.rank); got != c.want || (got != admission.ReasonNone && retryAfter <= 0) {
--- a/pkg/serve/guard_test.go
+++ b/pkg/serve/guard_test.go
@@ -94,9 +94,9 @@
 		promise               bool
 		sends                 int
 	}{
-		{"it comes again", true, false, false, true, 0},
-		{"it waits for its model meanwhile", false, true, false, true, 0},
-		{"its first try ends an endpoint", false, false, true, false, 1},
+		{"blocked on arrival", true, false, false, true, 0},
+		{"blocked while waiting for its model", false, true, false, true, 0},
+		{"blocked by its first attempt", false, false, true, false, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -193,9 +193,9 @@
 		sends int
 		cause serve.Cause
 	}{
-		{"it is answered", false, script{}, serve.ProbeServed, 1, ""},
-		{"it breaks off", false, script{lost: true}, serve.ProbeBroken, 1, serve.CauseBroken},
-		{"its turn does not come", true, script{}, serve.ProbeNotRun, 0, serve.CauseOnTrial},
+		{"response is complete", false, script{}, serve.ProbeServed, 1, ""},
+		{"response breaks off", false, script{lost: true}, serve.ProbeBroken, 1, serve.CauseBroken},
+		{"probe gets no turn", true, script{}, serve.ProbeNotRun, 0, serve.CauseOnTrial},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -239,9 +239,9 @@
 		ready  bool
 		left   int
 	}{
-		{"it runs", script{}, true, 0},
-		{"it may have run", script{lost: true}, true, 0},
-		{"no endpoint has its model", script{}, false, 1},
+		{"request runs", script{}, true, 0},
+		{"request may have run", script{lost: true}, true, 0},
+		{"no endpoint has the model", script{}, false, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/pkg/serve/hold_test.go
+++ b/pkg/serve/hold_test.go
@@ -22,14 +22,14 @@
 		s    serve.Situation
 		hold bool
 	}{
-		{"a new request waits", serve.Situation{Now: at(0)}, true},
-		{"one that has waited for half of its time still does", serve.Situation{Now: at(5 * time.Second)}, true},
-		{"one that has waited for longer is refused in time to come back", serve.Situation{Now: at(6 * time.Second)}, false},
-		{"unless the model is about to be there", serve.Situation{Now: at(6 * time.Second), ComingAt: at(7 * time.Second)}, true},
-		{"a model that cannot come from the weight store in time is refused at once", serve.Situation{Now: at(0), FarUntil: at(12 * time.Second)}, false},
-		{"one that can is waited for", serve.Situation{Now: at(0), FarUntil: at(7 * time.Second)}, true},
-		{"a model that no configuration names is refused at once", serve.Situation{Now: at(0), Known: true, Unnamed: true}, false},
-		{"but not when it comes too late", serve.Situation{Now: at(6 * time.Second), ComingAt: at(11 * time.Second)}, false},
+		{"new request waits", serve.Situation{Now: at(0)}, true},
+		{"request waits after half of its timeout", serve.Situation{Now: at(5 * time.Second)}, true},
+		{"request is refused while its client can still retry", serve.Situation{Now: at(6 * time.Second)}, false},
+		{"request waits if the model is about to be loaded", serve.Situation{Now: at(6 * time.Second), ComingAt: at(7 * time.Second)}, true},
+		{"request is refused at once if the model cannot be loaded in time", serve.Situation{Now: at(0), FarUntil: at(12 * time.Second)}, false},
+		{"request waits if the model can be loaded in time", serve.Situation{Now: at(0), FarUntil: at(7 * time.Second)}, true},
+		{"request is refused at once if no configuration names the model", serve.Situation{Now: at(0), Known: true, Unnamed: true}, false},
+		{"request is refused if the load finishes too late", serve.Situation{Now: at(6 * time.Second), ComingAt: at(11 * time.Second)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/pkg/serve/serve_test.go
+++ b/pkg/serve/serve_test.go
@@ -329,10 +329,10 @@
 		kind   fleet.Kind
 		sent   int
 	}{
-		{"the run has ended there", serve.Run{}, fleet.Stream, 2},
-		{"it has begun to answer", serve.Run{Held: true, Begun: true}, fleet.Stream, 2},
-		{"it still waits", serve.Run{Held: true}, fleet.Stream, 1},
-		{"it may run only once", serve.Run{}, fleet.Once, 1},
+		{"endpoint no longer holds the request", serve.Run{}, fleet.Stream, 2},
+		{"endpoint started to respond", serve.Run{Held: true, Begun: true}, fleet.Stream, 2},
+		{"request waits at the endpoint", serve.Run{Held: true}, fleet.Stream, 1},
+		{"request may run only once", serve.Run{}, fleet.Once, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
