--- a/pkg/state/bench_test.go
+++ b/pkg/state/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-// largeContract has as many models and adapters as asked for.
-func largeContract(models, adapters int) []byte {
+// contractDocument returns a contract with the given number of models and adapters.
+func contractDocument(models, adapters int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "customer: c\ncredentials: [{sha256: %064d}]\nmodels:\n", 0)
 	for i := range models {
@@ -37,20 +37,20 @@
 	}
 }
 
-// contracts publishes the models and adapters in contracts of 500 entries,
-// since one record may have 256 KiB.
-func contracts(b *testing.B, st *state.State, models, adapters int) {
+// publishContracts publishes models and adapters in contracts of up to 500
+// entries, so that each record stays below record.MaxBytes.
+func publishContracts(b *testing.B, st *state.State, models, adapters int) {
 	const perContract = 500
 	for i := 0; i*perContract < models+adapters; i++ {
 		n := min(perContract, models+adapters-i*perContract)
-		document := largeContract(max(1, n*models/(models+adapters)), n*adapters/(models+adapters))
+		document := contractDocument(max(1, n*models/(models+adapters)), n*adapters/(models+adapters))
 		customer := fmt.Sprintf("c%d", i)
 		document = []byte(strings.Replace(string(document), "customer: c\n", "customer: "+customer+"\n", 1))
 		mustApply(b, st, record.Record{Contract: &record.Contract{Customer: customer, Document: document}})
 	}
 }
 
-func keys(b *testing.B, st *state.State, n int) {
+func addKeys(b *testing.B, st *state.State, n int) {
 	for range n / 100 {
 		d := record.Dispatch{Holder: record.HostRef{Host: "h"}}
 		for range 100 {
@@ -62,16 +62,16 @@
 	}
 }
 
-// BenchmarkRestore measures what a fresh host needs to restore the state, by
-// the number of contract entries and of idempotency keys kept.
+// BenchmarkRestore measures restoring the state from a snapshot, by the number
+// of contract entries and idempotency keys.
 func BenchmarkRestore(b *testing.B) {
 	for _, size := range []struct{ models, adapters, keys int }{
 		{10, 100, 0}, {31, 1100, 0}, {310, 11000, 0}, {310, 11000, 10_000}, {310, 11000, 100_000},
 	} {
 		b.Run(fmt.Sprintf("models=%d/adapters=%d/keys=%d", size.models, size.adapters, size.keys), func(b *testing.B) {
 			st := state.New()
-			contracts(b, st, size.models, size.adapters)
-			keys(b, st, size.keys)
+			publishContracts(b, st, size.models, size.adapters)
+			addKeys(b, st, size.keys)
 			records, err := st.Snapshot()
 			if err != nil {
 				b.Fatal(err)
@@ -94,13 +94,13 @@
 	}
 }
 
-// BenchmarkFold measures what each kind of record costs every host.
-func BenchmarkFold(b *testing.B) {
+// BenchmarkApply measures applying each kind of record.
+func BenchmarkApply(b *testing.B) {
 	st := state.New()
 	ref := record.HostRef{Host: "h", Incarnation: "i"}
 	mustApply(b, st, record.Record{Join: &record.HostJoin{HostRef: ref}})
 	renew, _ := record.Encode(record.Record{ID: record.NewID(), Renew: &record.HostRenew{HostRef: ref}})
-	document := largeContract(5, 45)
+	document := contractDocument(5, 45)
 	b.Run("renew", func(b *testing.B) {
 		for range b.N {
 			if _, _, err := st.Apply(st.Applied()+1, renew); err != nil {
@@ -137,23 +137,24 @@
 	})
 }
 
-// BenchmarkMemory reports the heap that the state takes by its size.
+// BenchmarkMemory reports the heap size of the state, by the number of contract
+// entries and idempotency keys.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range []struct{ models, adapters, keys int }{{31, 1100, 0}, {310, 11000, 0}, {310, 11000, 100_000}} {
 		b.Run(fmt.Sprintf("models=%d/adapters=%d/keys=%d", size.models, size.adapters, size.keys), func(b *testing.B) {
 			for range b.N {
-				before := heap()
+				before := heapBytes()
 				st := state.New()
-				contracts(b, st, size.models, size.adapters)
-				keys(b, st, size.keys)
-				b.ReportMetric(float64(heap()-before)/(1<<20), "heap-MiB")
+				publishContracts(b, st, size.models, size.adapters)
+				addKeys(b, st, size.keys)
+				b.ReportMetric(float64(heapBytes()-before)/(1<<20), "heap-MiB")
 				runtime.KeepAlive(st)
 			}
 		})
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/pkg/state/contracts.go
+++ b/pkg/state/contracts.go
@@ -10,7 +10,7 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// ContractEntry is the contract of a customer that is in force.
+// ContractEntry is the published contract of a customer.
 type ContractEntry struct {
 	Version  uint64
 	Offset   record.Offset
@@ -18,7 +18,7 @@
 	Contract *contract.Contract
 }
 
-// Contracts holds the contracts in force.
+// Contracts holds the current contract of each customer.
 type Contracts struct {
 	mu      sync.RWMutex
 	entries map[string]ContractEntry
@@ -28,20 +28,20 @@
 	return &Contracts{entries: map[string]ContractEntry{}}
 }
 
-// publish puts a contract in force by compare-and-set on the version. Of two
-// operators who start from the same version the second is void, and a delayed
-// copy of an old publication can never bring an old contract back.
+// publish replaces a customer's contract by compare-and-set on its version. If
+// two operators start from the same version, the second record is rejected. A
+// delayed copy of an old record cannot restore an old contract.
 func (c *Contracts) publish(off record.Offset, p record.Contract) error {
 	current := c.entries[p.Customer]
 	if p.Base != current.Version {
-		return errors.Wrapf(ErrStale, "version of %q is %d, not %d", p.Customer, current.Version, p.Base)
+		return errors.Wrapf(ErrStale, "contract of %q has version %d, record expects %d", p.Customer, current.Version, p.Base)
 	}
-	parsed, found := contract.Parse("", p.Document)
-	if err := found.Err(); err != nil {
+	parsed, findings := contract.Parse("", p.Document)
+	if err := findings.Err(); err != nil {
 		return errors.Wrapf(ErrInvalid, "contract of %q: %v", p.Customer, err)
 	}
 	if parsed.Customer != p.Customer {
-		return errors.Wrapf(ErrInvalid, "document of %q published as %q", parsed.Customer, p.Customer)
+		return errors.Wrapf(ErrInvalid, "document names customer %q, record names %q", parsed.Customer, p.Customer)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// Get returns the contract of a customer that is in force.
+// Get returns the current contract of a customer.
 func (c *Contracts) Get(customer string) (ContractEntry, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -62,14 +62,14 @@
 	return e, ok
 }
 
-// Customers returns all customers in order.
+// Customers returns the names of all customers in sorted order.
 func (c *Contracts) Customers() []string {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return slices.Sorted(maps.Keys(c.entries))
 }
 
-// Authenticate returns the contract whose credentials hold token.
+// Authenticate returns the contract that lists the digest of token as a credential.
 func (c *Contracts) Authenticate(token string) (ContractEntry, bool) {
 	digest := contract.TokenDigest(token)
 	c.mu.RLock()
@@ -82,7 +82,6 @@
 	return ContractEntry{}, false
 }
 
-// model returns a customer's model entry.
 func (c *Contracts) model(customer, name string) (contract.Model, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -93,7 +92,7 @@
 	return e.Contract.Model(name)
 }
 
-// PoolNames returns the pools that hold loadable models, in order.
+// PoolNames returns the pools of all loadable models in sorted order.
 func (c *Contracts) PoolNames() []string {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -108,14 +107,15 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// PoolModel is a loadable model of a pool with its customer.
+// PoolModel is a loadable model of a pool and the customer it belongs to.
 type PoolModel struct {
 	Customer string
 	Weights  contract.Weights
 	contract.Model
 }
 
-// Models returns the loadable models of a pool, in order of customer and contract.
+// Models returns the loadable models of a pool, ordered by customer and then by
+// position in the contract.
 func (c *Contracts) Models(pool string) []PoolModel {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/pkg/state/crashes.go
+++ b/pkg/state/crashes.go
@@ -7,17 +7,16 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// maxCrashes bounds the ends of endpoints that are kept, the newest ones. With full
-// batches of some tens of requests they take about 200 KB of each snapshot.
+// maxCrashes bounds the retained crashes, and with them the size of a snapshot.
 const maxCrashes = 256
 
-// EndpointCrash is an end of an endpoint under requests, as the log tells it.
+// EndpointCrash is a crash of an endpoint that had requests in flight.
 type EndpointCrash struct {
 	Offset record.Offset
 	record.Crashed
 }
 
-// Crashes holds the last ends of endpoints under requests.
+// Crashes holds the most recent endpoint crashes.
 type Crashes struct {
 	mu   sync.RWMutex
 	list []EndpointCrash
@@ -25,7 +24,8 @@
 
 func newCrashes() *Crashes { return &Crashes{} }
 
-// add keeps an end. A host tells what ran there on its own, so that one end may come from several.
+// add records a crash and drops the oldest above maxCrashes. Each host reports
+// its own requests, so one crash may be added several times.
 func (c *Crashes) add(off record.Offset, r record.Crashed) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +35,7 @@
 	}
 }
 
-// After returns the ends that the log has told after an offset.
+// After returns the crashes recorded after an offset.
 func (c *Crashes) After(off record.Offset) []EndpointCrash {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/pkg/state/deferred.go
+++ b/pkg/state/deferred.go
@@ -11,14 +11,14 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// DeferredRequest is an accepted request whose answer is fetched later.
+// DeferredRequest is an accepted request whose response is fetched later.
 type DeferredRequest struct {
 	record.Deferred
-	// Answer is nil until the request has run.
+	// Answer is the response, nil until the request has completed.
 	Answer *record.DeferFinish
 }
 
-// DeferredRequests holds the deferred requests since the horizon.
+// DeferredRequests holds the deferred requests created since the horizon.
 type DeferredRequests struct {
 	mu       sync.RWMutex
 	requests map[string]DeferredRequest
@@ -28,8 +28,8 @@
 	return &DeferredRequests{requests: map[string]DeferredRequest{}}
 }
 
-// accept keeps a request. A delayed copy finds the ID known or, after it was
-// dropped, older than the horizon.
+// accept adds a request. It rejects a duplicate by its ID, or by the horizon
+// if the first copy has already been deleted.
 func (d *DeferredRequests) accept(r record.Deferred, horizon time.Time) error {
 	created, ok := record.Key{Value: r.ID}.Time()
 	if !ok || created.Before(horizon) {
@@ -37,7 +37,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, known := d.requests[r.ID]; known {
+	if _, exists := d.requests[r.ID]; exists {
 		return errors.Wrapf(ErrStale, "deferred request %s", r.ID)
 	}
 	d.requests[r.ID] = DeferredRequest{Deferred: r}
@@ -49,14 +49,14 @@
 	defer d.mu.Unlock()
 	r, ok := d.requests[f.ID]
 	if !ok || r.Answer != nil {
-		return errors.Wrapf(ErrStale, "deferred request %s", f.ID)
+		return errors.Wrapf(ErrStale, "deferred request %s is unknown or already completed", f.ID)
 	}
 	r.Answer = &f
 	d.requests[f.ID] = r
 	return nil
 }
 
-func (d *DeferredRequests) dropBefore(horizon time.Time) {
+func (d *DeferredRequests) deleteBefore(horizon time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	maps.DeleteFunc(d.requests, func(id string, _ DeferredRequest) bool {
@@ -65,7 +65,7 @@
 	})
 }
 
-// Get returns a deferred request.
+// Get returns the deferred request with the given ID.
 func (d *DeferredRequests) Get(id string) (DeferredRequest, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -73,7 +73,7 @@
 	return r, ok
 }
 
-// Open returns the requests without an answer, oldest first.
+// Open returns the requests without a response, oldest first.
 func (d *DeferredRequests) Open() []DeferredRequest {
 	return slices.DeleteFunc(d.sorted(), func(r DeferredRequest) bool { return r.Answer != nil })
 }
--- a/pkg/state/hosts.go
+++ b/pkg/state/hosts.go
@@ -9,19 +9,19 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// Session is the open session of one run of an entry host.
+// Session is the session of one incarnation of an entry host.
 type Session struct {
 	record.HostRef
 	PeerAddr string
 	Zone     string
-	// Renewed is the offset of the last heartbeat. Whether it is too old is a
-	// question of time, which the fold does not ask.
+	// Renewed is the offset of the last heartbeat. Callers decide whether the
+	// session has expired, because the state reads no clock.
 	Renewed record.Offset
-	// Leaving is set by a host that shuts down gracefully.
+	// Leaving is set while the host shuts down gracefully.
 	Leaving bool
 }
 
-// Hosts holds the sessions of entry hosts.
+// Hosts holds the open sessions of entry hosts.
 type Hosts struct {
 	mu       sync.RWMutex
 	sessions map[record.HostRef]Session
@@ -56,7 +56,7 @@
 	delete(h.sessions, ref)
 }
 
-// Has tells whether a session is open.
+// Has reports whether a session is open.
 func (h *Hosts) Has(ref record.HostRef) bool {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -64,7 +64,7 @@
 	return ok
 }
 
-// Sessions returns the open sessions in order of host and incarnation.
+// Sessions returns the open sessions, ordered by host and incarnation.
 func (h *Hosts) Sessions() []Session {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
--- a/pkg/state/keys.go
+++ b/pkg/state/keys.go
@@ -12,22 +12,22 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// KeyState is the stage of an idempotency key.
+// KeyState is the state of an idempotency key.
 type KeyState int
 
-// The stages of an idempotency key.
+// The states of an idempotency key.
 const (
-	// KeyFree means that the key was never claimed, or released.
+	// KeyFree means that the key was never claimed or has been released.
 	KeyFree KeyState = iota
-	// KeyClaimed means that its request may run or have run.
+	// KeyClaimed means that the request may be running or may have run.
 	KeyClaimed
-	// KeyDone means that the outcome is recorded.
+	// KeyDone means that the response is recorded.
 	KeyDone
-	// KeyExpired means that the key is older than the horizon.
+	// KeyExpired means that the key was created before the horizon.
 	KeyExpired
 )
 
-// KeyEntry is what is known of an idempotency key.
+// KeyEntry is the state of an idempotency key with its holder and response.
 type KeyEntry struct {
 	State   KeyState
 	Holder  record.HostRef
@@ -38,7 +38,7 @@
 
 const keyShards = 64
 
-// Keys holds the idempotency keys since the horizon, in shards by key.
+// Keys holds the idempotency keys created since the horizon, sharded by key.
 type Keys struct {
 	shards    [keyShards]keyShard
 	horizonMu sync.RWMutex
@@ -62,14 +62,14 @@
 	return &k.shards[xxhash.Sum64String(key.Customer+"\x00"+key.Value)%keyShards]
 }
 
-// Horizon returns the time before which keys are refused.
+// Horizon returns the creation time before which keys are rejected.
 func (k *Keys) Horizon() time.Time {
 	k.horizonMu.RLock()
 	defer k.horizonMu.RUnlock()
 	return k.horizon
 }
 
-// Get returns what is known of a key.
+// Get returns the entry of a key.
 func (k *Keys) Get(key record.Key) KeyEntry {
 	if k.expired(key) {
 		return KeyEntry{State: KeyExpired}
@@ -80,7 +80,7 @@
 	return s.entries[key]
 }
 
-// Len is the number of keys kept.
+// Len returns the number of keys held.
 func (k *Keys) Len() int {
 	n := 0
 	for i := range k.shards {
@@ -91,15 +91,15 @@
 	return n
 }
 
-// expired tells whether a key may have been forgotten. A key carries its own
-// creation time, so that a repeat after the entry was dropped is refused and
-// does not run again.
+// expired reports whether a key was created before the horizon. The creation
+// time is part of the key, so a retry is rejected even after its entry has been
+// deleted.
 func (k *Keys) expired(key record.Key) bool {
 	created, ok := key.Time()
 	return !ok || created.Before(k.Horizon())
 }
 
-func (k *Keys) dispatch(d record.Dispatch) {
+func (k *Keys) applyDispatch(d record.Dispatch) {
 	for _, c := range d.Claims {
 		k.update(c.Key, func(e KeyEntry) KeyEntry { return claimKey(e, c, d.Holder) })
 	}
@@ -125,9 +125,9 @@
 	}
 }
 
-// claimKey lets the first claim win. The attempt number voids a delayed copy
-// of a claim that was released since; without it the copy would hold the key
-// although nobody runs the request.
+// claimKey applies a claim; the first claim of a free key wins. The attempt
+// number rejects a delayed copy of a claim that has since been released, which
+// would otherwise hold the key with no request running.
 func claimKey(e KeyEntry, c record.KeyClaim, holder record.HostRef) KeyEntry {
 	if e.State != KeyFree || e.Attempt != c.Attempt {
 		return e
@@ -151,10 +151,10 @@
 	return KeyEntry{State: KeyFree, Attempt: e.Attempt + 1}
 }
 
-// advance moves the horizon forward and drops older keys.
-func (k *Keys) advance(before time.Time) error {
+// advanceHorizon moves the horizon forward and deletes the keys before it.
+func (k *Keys) advanceHorizon(before time.Time) error {
 	if !before.After(k.Horizon()) {
-		return errors.Wrapf(ErrStale, "horizon %s", before)
+		return errors.Wrapf(ErrStale, "horizon %s is not after the current one", before)
 	}
 	k.horizonMu.Lock()
 	k.horizon = before
@@ -168,23 +168,23 @@
 	return nil
 }
 
-// keyPair is one entry in a snapshot.
-type keyPair struct {
+// snapshotKeyEntry is the entry of one idempotency key in a snapshot.
+type snapshotKeyEntry struct {
 	Key   record.Key
 	Entry KeyEntry
 }
 
-func (k *Keys) sorted() []keyPair {
-	var all []keyPair
+func (k *Keys) sorted() []snapshotKeyEntry {
+	var all []snapshotKeyEntry
 	for i := range k.shards {
 		s := &k.shards[i]
 		s.mu.RLock()
 		for key, e := range s.entries {
-			all = append(all, keyPair{key, e})
+			all = append(all, snapshotKeyEntry{key, e})
 		}
 		s.mu.RUnlock()
 	}
-	slices.SortFunc(all, func(a, b keyPair) int {
+	slices.SortFunc(all, func(a, b snapshotKeyEntry) int {
 		return cmp.Or(cmp.Compare(a.Key.Customer, b.Key.Customer), cmp.Compare(a.Key.Value, b.Key.Value))
 	})
 	return all
--- a/pkg/state/plan.go
+++ b/pkg/state/plan.go
@@ -6,16 +6,16 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// applyPlan is the single place at which decisions about a pool take effect.
-// A plan of a former owner carries an old epoch, and a delayed copy of an
-// applied plan an old sequence number: both are void as a whole.
+// applyPlan applies the decisions of a pool's owner. It rejects the whole plan
+// if the epoch is that of a previous owner or if the sequence number has
+// already been used. It returns the result of each decision.
 func (ps *Pools) applyPlan(off record.Offset, plan record.Plan, contracts *Contracts) ([]error, error) {
 	p := ps.find(plan.Pool)
 	if p == nil {
 		return nil, errors.Wrapf(ErrUnknown, "pool %q", plan.Pool)
 	}
 	if plan.Epoch != p.Epoch || plan.Seq != p.Seq {
-		return nil, errors.Wrapf(ErrStale, "plan %d of epoch %d, pool %q is at %d of %d", plan.Seq, plan.Epoch, plan.Pool, p.Seq, p.Epoch)
+		return nil, errors.Wrapf(ErrStale, "plan %d in epoch %d: pool %q expects plan %d in epoch %d", plan.Seq, plan.Epoch, plan.Pool, p.Seq, p.Epoch)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -23,54 +23,54 @@
 	p.Changed = off
 	results := make([]error, len(plan.Decisions))
 	for i, d := range plan.Decisions {
-		results[i] = p.decide(off, d, contracts)
+		results[i] = p.applyDecision(off, d, contracts)
 	}
 	return results, nil
 }
 
-func (p *lockedPool) decide(off record.Offset, d record.Decision, contracts *Contracts) error {
+func (p *lockedPool) applyDecision(off record.Offset, d record.Decision, contracts *Contracts) error {
 	switch {
 	case d.Endpoint != nil:
-		p.seeEndpoint(off, *d.Endpoint)
+		p.registerEndpoint(off, *d.Endpoint)
 		return nil
 	case d.Lost != nil:
-		return p.loseEndpoint(off, *d.Lost)
+		return p.markEndpointLost(off, *d.Lost)
 	case d.Place != nil:
-		return p.place(off, *d.Place, contracts)
+		return p.placeReplica(off, *d.Place, contracts)
 	case d.Ready != nil:
 		return p.setPhase(off, d.Ready.Replica, Placed, Loaded)
 	case d.Retire != nil:
-		return p.retire(off, d.Retire.Replica)
+		return p.retireReplica(off, d.Retire.Replica)
 	case d.Free != nil:
-		return p.free(d.Free.Replica)
+		return p.freeReplica(d.Free.Replica)
 	}
 	return nil
 }
 
-// seeEndpoint registers an endpoint. After a restart its memory is empty, but
-// this may be an old observation of a run before the present one, whose
-// replicas are loaded. So all are retired and stay counted until their unload
-// is confirmed by the run that was observed.
-func (p *lockedPool) seeEndpoint(off record.Offset, seen record.EndpointSeen) {
-	known, ok := p.Endpoints[seen.Endpoint]
-	if ok && known.Incarnation != seen.Incarnation {
-		p.retireAll(off, seen.Endpoint)
-	}
-	p.Endpoints[seen.Endpoint] = Endpoint{EndpointSeen: seen}
+// registerEndpoint adds an endpoint or replaces its entry. A new incarnation
+// has normally lost its loaded models, but the observation may also be an old
+// one. All replicas are therefore retired and keep their memory reserved until
+// the observed incarnation confirms the unload.
+func (p *lockedPool) registerEndpoint(off record.Offset, observed record.EndpointSeen) {
+	known, ok := p.Endpoints[observed.Endpoint]
+	if ok && known.Incarnation != observed.Incarnation {
+		p.retireReplicasOn(off, observed.Endpoint)
+	}
+	p.Endpoints[observed.Endpoint] = Endpoint{EndpointSeen: observed}
 }
 
-func (p *lockedPool) loseEndpoint(off record.Offset, lost record.EndpointLost) error {
+func (p *lockedPool) markEndpointLost(off record.Offset, lost record.EndpointLost) error {
 	e, ok := p.Endpoints[lost.Endpoint]
 	if !ok || e.Incarnation != lost.Incarnation {
-		return errors.Wrapf(ErrStale, "endpoint %q", lost.Endpoint)
+		return errors.Wrapf(ErrStale, "endpoint %q is unknown or has another incarnation", lost.Endpoint)
 	}
 	e.Lost = true
 	p.Endpoints[lost.Endpoint] = e
-	p.retireAll(off, lost.Endpoint)
+	p.retireReplicasOn(off, lost.Endpoint)
 	return nil
 }
 
-func (p *lockedPool) retireAll(off record.Offset, endpoint string) {
+func (p *lockedPool) retireReplicasOn(off record.Offset, endpoint string) {
 	for id, r := range p.Replicas {
 		if r.Endpoint == endpoint {
 			r.Phase = Retired
@@ -80,27 +80,27 @@
 	}
 }
 
-// place reserves capacity. This check, and not the owner's, bounds replicas
-// and memory: it sees every reservation in the order of the log.
-func (p *lockedPool) place(off record.Offset, d record.Place, contracts *Contracts) error {
+// placeReplica reserves memory for a replica. The limits on replicas and memory
+// are enforced here, because only the log orders all reservations.
+func (p *lockedPool) placeReplica(off record.Offset, d record.Place, contracts *Contracts) error {
 	m, ok := contracts.model(d.Customer, d.Model)
 	if !ok || !m.Loadable() || m.Pool != p.Name {
 		return errors.Wrapf(ErrUnknown, "model %q of %q in pool %q", d.Model, d.Customer, p.Name)
 	}
 	e, ok := p.Endpoints[d.Endpoint]
 	if !ok || e.Lost {
-		return errors.Wrapf(ErrUnknown, "endpoint %q", d.Endpoint)
+		return errors.Wrapf(ErrUnknown, "endpoint %q of pool %q", d.Endpoint, p.Name)
 	}
-	if _, used := p.Replicas[d.Replica]; used {
-		return errors.Wrapf(ErrStale, "replica %s", d.Replica)
+	if _, exists := p.Replicas[d.Replica]; exists {
+		return errors.Wrapf(ErrStale, "replica ID %s is already in use", d.Replica)
 	}
 	if n := p.Count(d.Customer, d.Model); n >= m.MaxReplicas {
-		return errors.Wrapf(ErrLimit, "%d of %d replicas of %q", n, m.MaxReplicas, d.Model)
+		return errors.Wrapf(ErrLimit, "%d of %d replicas of model %q are reserved", n, m.MaxReplicas, d.Model)
 	}
 	if free := e.MemoryMB - p.ReservedMB(d.Endpoint); free < m.MemoryMB() {
-		return errors.Wrapf(ErrLimit, "%d MB free on %q, %q needs %d MB", free, d.Endpoint, d.Model, m.MemoryMB())
+		return errors.Wrapf(ErrLimit, "%d MB free on endpoint %q, model %q needs %d MB", free, d.Endpoint, d.Model, m.MemoryMB())
 	}
-	if err := p.checkBase(m, d); err != nil {
+	if err := p.requireLoadedBase(m, d); err != nil {
 		return err
 	}
 	p.Replicas[d.Replica] = Replica{
@@ -115,8 +115,9 @@
 	return nil
 }
 
-// checkBase requires a loaded base replica on the same endpoint for an adapter.
-func (p *lockedPool) checkBase(m contract.Model, d record.Place) error {
+// requireLoadedBase returns an error if m is an adapter whose base model is not
+// loaded on the same endpoint.
+func (p *lockedPool) requireLoadedBase(m contract.Model, d record.Place) error {
 	if m.Kind != contract.Adapter {
 		return nil
 	}
@@ -125,7 +126,7 @@
 			return nil
 		}
 	}
-	return errors.Wrapf(ErrUnknown, "loaded base %q of adapter %q on %q", m.BaseModel, d.Model, d.Endpoint)
+	return errors.Wrapf(ErrUnknown, "loaded base model %q of adapter %q on endpoint %q", m.BaseModel, d.Model, d.Endpoint)
 }
 
 func (p *lockedPool) setPhase(off record.Offset, id record.ReplicaID, from, to Phase) error {
@@ -139,7 +140,7 @@
 	return nil
 }
 
-func (p *lockedPool) retire(off record.Offset, id record.ReplicaID) error {
+func (p *lockedPool) retireReplica(off record.Offset, id record.ReplicaID) error {
 	r, ok := p.Replicas[id]
 	if !ok || r.Phase == Retired {
 		return errors.Wrapf(ErrStale, "replica %s", id)
@@ -147,13 +148,13 @@
 	return p.setPhase(off, id, r.Phase, Retired)
 }
 
-func (p *lockedPool) free(id record.ReplicaID) error {
+func (p *lockedPool) freeReplica(id record.ReplicaID) error {
 	r, ok := p.Replicas[id]
 	if !ok || r.Phase != Retired {
 		return errors.Wrapf(ErrStale, "replica %s", id)
 	}
 	if !p.MayFree(r) {
-		return errors.Wrapf(ErrStale, "a former owner may still load replica %s", id)
+		return errors.Wrapf(ErrStale, "a previous owner may still load replica %s", id)
 	}
 	delete(p.Replicas, id)
 	return nil
--- a/pkg/state/pools.go
+++ b/pkg/state/pools.go
@@ -10,25 +10,25 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// Phase is the stage of a replica's life.
+// Phase is the lifecycle phase of a replica.
 type Phase int
 
 // The phases of a replica, in order.
 const (
-	// Placed replicas have memory reserved; their load may be under way.
+	// Placed replicas have memory reserved; the load may be in progress.
 	Placed Phase = iota
 	// Loaded replicas serve requests.
 	Loaded
-	// Retired replicas get no new requests; their memory is still reserved.
+	// Retired replicas receive no new requests; their memory is still reserved.
 	Retired
 )
 
-// String names the phase.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	return [...]string{"placed", "loaded", "retired"}[p]
 }
 
-// Replica is one replica whose memory is reserved.
+// Replica is a replica with reserved memory.
 type Replica struct {
 	ID       record.ReplicaID
 	Customer string
@@ -45,31 +45,30 @@
 // Endpoint is a model endpoint of a pool.
 type Endpoint struct {
 	record.EndpointSeen
-	// Lost endpoints have left the platform's list.
+	// Lost endpoints have been removed from the platform's list.
 	Lost bool
 }
 
-// Former is a past owner that may still have orders under way.
+// Former is a previous owner that may still have commands in flight.
 type Former struct {
 	Epoch record.Offset
 	Owner record.HostRef
 }
 
-// Pool is a copy of one pool's state.
+// Pool is the state of one pool.
 type Pool struct {
 	Name  string
 	Epoch record.Offset
 	Owner record.HostRef
 	Seq   uint64
-	// Changed is the offset of the last record that changed the pool. A copy of
-	// the pool carries it, so that it never belongs to a later epoch.
+	// Changed is the offset of the last record that changed the pool.
 	Changed   record.Offset
 	Former    []Former
 	Endpoints map[string]Endpoint
 	Replicas  map[record.ReplicaID]Replica
 }
 
-// ReservedMB is the memory of an endpoint that replicas hold.
+// ReservedMB returns the memory reserved on an endpoint, in megabytes.
 func (p *Pool) ReservedMB(endpoint string) int64 {
 	var sum int64
 	for _, r := range p.Replicas {
@@ -80,8 +79,7 @@
 	return sum
 }
 
-// Count is the number of replicas of a customer's model that are loaded,
-// loading or in doubt.
+// Count returns the number of replicas of a customer's model in any phase.
 func (p *Pool) Count(customer, model string) int {
 	count := 0
 	for _, r := range p.Replicas {
@@ -92,13 +90,13 @@
 	return count
 }
 
-// MayFree tells whether the memory of a retired replica may be given back once
-// the present owner's unload order was accepted.
+// MayFree reports whether the memory of a retired replica may be released once
+// the endpoint has accepted the current owner's unload command.
 //
-// A former owner that was paused between decision and order may still send a
-// load order for the replica; it would show as memory used twice. Either the
-// endpoint refuses it, because the unload order raised its fencing token, or
-// no owner of the replica's time is left that could send it.
+// A previous owner may still send a delayed load command for the replica. That
+// is safe if the endpoint is listed and checks fencing tokens, because the unload
+// command has raised the token. Otherwise no previous owner since the epoch of
+// the replica may have commands in flight.
 func (p *Pool) MayFree(r Replica) bool {
 	e := p.Endpoints[r.Endpoint]
 	if e.ChecksFencing && !e.Lost {
@@ -115,7 +113,7 @@
 	return c
 }
 
-// Pools holds all pools. Each has a lock of its own.
+// Pools holds all pools, each with its own lock.
 type Pools struct {
 	mu    sync.RWMutex
 	pools map[string]*lockedPool
@@ -136,7 +134,7 @@
 	return ps.pools[name]
 }
 
-// Get returns a copy of a pool; an unclaimed pool is empty.
+// Get returns a copy of a pool. A pool that was never claimed is empty.
 func (ps *Pools) Get(name string) Pool {
 	p := ps.find(name)
 	if p == nil {
@@ -158,14 +156,14 @@
 	return p.Owner, p.Epoch
 }
 
-// Names returns all claimed pools in order.
+// Names returns all pools that were ever claimed, in sorted order.
 func (ps *Pools) Names() []string {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	return slices.Sorted(maps.Keys(ps.pools))
 }
 
-// Target is a loaded replica with the address that serves it.
+// Target is a loaded replica and the address of its endpoint.
 type Target struct {
 	Replica  record.ReplicaID
 	Endpoint string
@@ -173,8 +171,8 @@
 	Zone     string
 }
 
-// Targets returns the loaded replicas of a model in order, whoever's contract
-// placed them.
+// Targets returns the loaded replicas of a model in a pool, regardless of the
+// customer whose contract placed them, ordered by ID.
 func (ps *Pools) Targets(pool, model string) []Target {
 	p := ps.find(pool)
 	if p == nil {
@@ -193,7 +191,7 @@
 	return targets
 }
 
-// EndpointOf returns the endpoint of a replica.
+// EndpointOf returns the ID of the endpoint that hosts a replica.
 func (ps *Pools) EndpointOf(id record.ReplicaID) (string, bool) {
 	for _, name := range ps.Names() {
 		p := ps.find(name)
@@ -207,7 +205,7 @@
 	return "", false
 }
 
-// Loading tells whether a load of a model was decided and not yet confirmed.
+// Loading reports whether a replica of the model is placed but not yet loaded.
 func (ps *Pools) Loading(pool, model string) bool {
 	p := ps.find(pool)
 	if p == nil {
@@ -223,39 +221,39 @@
 	return false
 }
 
-// claim moves a pool to a new epoch. Of several claims that follow the same
-// epoch the first in the log wins; a delayed copy finds another epoch.
+// claim starts a new epoch of a pool. Of several claims on the same epoch the
+// first in the log wins, and a delayed copy is rejected.
 func (ps *Pools) claim(off record.Offset, c record.PoolClaim) error {
 	p := ps.find(c.Pool)
 	if p == nil {
 		p = ps.create(c.Pool)
 	}
 	if p.Epoch != c.PrevEpoch {
-		return errors.Wrapf(ErrStale, "epoch of pool %q is %d, not %d", c.Pool, p.Epoch, c.PrevEpoch)
+		return errors.Wrapf(ErrStale, "pool %q is in epoch %d, claim expects %d", c.Pool, p.Epoch, c.PrevEpoch)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.Epoch != 0 {
 		p.Former = append(p.Former, Former{Epoch: p.Epoch, Owner: p.Owner})
 	}
-	p.start(off, c.Owner)
+	p.startEpoch(off, c.Owner)
 	return nil
 }
 
-// handover moves a pool to the next owner. The former owner has no orders
-// under way when it appends this record, so nothing waits for it.
+// handover transfers a pool to another host. The owner has no commands in
+// flight when it appends the record, so it is not added to Former.
 func (ps *Pools) handover(off record.Offset, h record.Handover) error {
 	p := ps.find(h.Pool)
 	if p == nil || p.Epoch != h.Epoch {
-		return errors.Wrapf(ErrStale, "handover of pool %q in epoch %d", h.Pool, h.Epoch)
+		return errors.Wrapf(ErrStale, "pool %q is not in epoch %d of the handover", h.Pool, h.Epoch)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.start(off, h.To)
+	p.startEpoch(off, h.To)
 	return nil
 }
 
-func (p *lockedPool) start(epoch record.Offset, owner record.HostRef) {
+func (p *lockedPool) startEpoch(epoch record.Offset, owner record.HostRef) {
 	p.Epoch = epoch
 	p.Changed = epoch
 	p.Owner = owner
@@ -274,7 +272,7 @@
 	return p
 }
 
-func (ps *Pools) quiesced(q record.Quiesced) {
+func (ps *Pools) removeQuiescedOwner(q record.Quiesced) {
 	p := ps.find(q.Pool)
 	if p == nil {
 		return
@@ -286,7 +284,7 @@
 	})
 }
 
-func (ps *Pools) dropFormer(ref record.HostRef) {
+func (ps *Pools) removeFormerOwner(ref record.HostRef) {
 	for _, name := range ps.Names() {
 		p := ps.find(name)
 		p.mu.Lock()
--- a/pkg/state/snapshot.go
+++ b/pkg/state/snapshot.go
@@ -13,38 +13,40 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// chunkBytes leaves room for the envelope below record.MaxBytes.
+// chunkBytes is the size of a chunk; it leaves room for the record's envelope.
 const chunkBytes = record.MaxBytes - 4<<10
 
-// maxChunks bounds a snapshot to about a gigabyte.
+// maxChunks bounds the memory used by the chunks of one snapshot.
 const maxChunks = 4096
 
-// ErrSnapshot is returned for chunks that do not form a snapshot.
+// ErrSnapshot is returned for chunks that do not form a complete snapshot.
 var ErrSnapshot = errors.New("not a complete snapshot")
 
-// image is the encoded form of the state. Its encoding is deterministic, so
-// that two hosts write the same chunks for the same offset.
-type image struct {
+// snapshotState is the encoded form of the state. Its encoding is
+// deterministic, so all hosts write the same chunks for the same offset. The
+// field names are part of the encoding.
+type snapshotState struct {
 	Applied   record.Offset
 	Horizon   time.Time
-	Contracts []contractImage
+	Contracts []snapshotContract
 	Sessions  []Session
 	Pools     []Pool
-	Keys      []keyPair
+	Keys      []snapshotKeyEntry
 	Deferred  []DeferredRequest
 	Crashes   []EndpointCrash
 }
 
-type contractImage struct {
+type snapshotContract struct {
 	Customer string
 	Version  uint64
 	Offset   record.Offset
 	Document []byte
 }
 
-// Snapshot encodes the state as records. It must not run beside Apply.
+// Snapshot encodes the state as records. It must not be called concurrently
+// with Apply.
 func (s *State) Snapshot() ([]record.Record, error) {
-	img := image{
+	encoded := snapshotState{
 		Applied:  s.Applied(),
 		Horizon:  s.Keys.Horizon(),
 		Sessions: s.Hosts.Sessions(),
@@ -54,19 +56,19 @@
 	}
 	for _, customer := range s.Contracts.Customers() {
 		e, _ := s.Contracts.Get(customer)
-		img.Contracts = append(img.Contracts, contractImage{customer, e.Version, e.Offset, e.Document})
+		encoded.Contracts = append(encoded.Contracts, snapshotContract{customer, e.Version, e.Offset, e.Document})
 	}
 	for _, name := range s.Pools.Names() {
-		img.Pools = append(img.Pools, s.Pools.Get(name))
+		encoded.Pools = append(encoded.Pools, s.Pools.Get(name))
 	}
-	data, err := record.Marshal(img)
+	data, err := record.Marshal(encoded)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode snapshot")
 	}
-	return split(img.Applied, data), nil
+	return splitChunks(encoded.Applied, data), nil
 }
 
-func split(asOf record.Offset, data []byte) []record.Record {
+func splitChunks(asOf record.Offset, data []byte) []record.Record {
 	chunks := slices.Collect(slices.Chunk(data, chunkBytes))
 	digest := xxhash.Sum64(data)
 	records := make([]record.Record, len(chunks))
@@ -82,43 +84,43 @@
 	return records
 }
 
-// Restore returns the state that the chunks of one snapshot encode.
+// Restore decodes the state from the chunks of one snapshot.
 func Restore(chunks []record.Snapshot) (*State, error) {
-	data, err := join(chunks)
+	data, err := joinChunks(chunks)
 	if err != nil {
 		return nil, err
 	}
-	var img image
-	if err := record.UnmarshalSnapshot(data, &img); err != nil {
+	var decoded snapshotState
+	if err := record.UnmarshalSnapshot(data, &decoded); err != nil {
 		return nil, errors.Wrap(err, "decode snapshot")
 	}
 	s := New()
-	s.applied.Store(uint64(img.Applied))
-	s.Keys.horizon = img.Horizon
-	for _, c := range img.Contracts {
-		parsed, found := contract.Parse("", c.Document)
-		if err := found.Err(); err != nil {
+	s.applied.Store(uint64(decoded.Applied))
+	s.Keys.horizon = decoded.Horizon
+	for _, c := range decoded.Contracts {
+		parsed, findings := contract.Parse("", c.Document)
+		if err := findings.Err(); err != nil {
 			return nil, errors.Wrapf(err, "contract of %q in snapshot", c.Customer)
 		}
 		s.Contracts.entries[c.Customer] = ContractEntry{c.Version, c.Offset, c.Document, parsed}
 	}
-	for _, session := range img.Sessions {
+	for _, session := range decoded.Sessions {
 		s.Hosts.sessions[session.HostRef] = session
 	}
-	for _, p := range img.Pools {
-		s.Pools.create(p.Name).Pool = p.withMaps()
+	for _, p := range decoded.Pools {
+		s.Pools.create(p.Name).Pool = p.withNonNilMaps()
 	}
-	for _, pair := range img.Keys {
+	for _, pair := range decoded.Keys {
 		s.Keys.shard(pair.Key).entries[pair.Key] = pair.Entry
 	}
-	for _, r := range img.Deferred {
+	for _, r := range decoded.Deferred {
 		s.Deferred.requests[r.ID] = r
 	}
-	s.Crashes.list = img.Crashes
+	s.Crashes.list = decoded.Crashes
 	return s, nil
 }
 
-func (p Pool) withMaps() Pool {
+func (p Pool) withNonNilMaps() Pool {
 	if p.Endpoints == nil {
 		p.Endpoints = map[string]Endpoint{}
 	}
@@ -128,9 +130,9 @@
 	return p
 }
 
-func join(chunks []record.Snapshot) ([]byte, error) {
+func joinChunks(chunks []record.Snapshot) ([]byte, error) {
 	if len(chunks) == 0 || len(chunks) != chunks[0].Count {
-		return nil, errors.Wrapf(ErrSnapshot, "%d chunks", len(chunks))
+		return nil, errors.Wrapf(ErrSnapshot, "got %d chunks", len(chunks))
 	}
 	var data bytes.Buffer
 	for i, c := range chunks {
@@ -140,16 +142,16 @@
 		data.Write(c.Data)
 	}
 	if xxhash.Sum64(data.Bytes()) != chunks[0].Digest {
-		return nil, errors.Wrap(ErrSnapshot, "digest differs")
+		return nil, errors.Wrap(ErrSnapshot, "digest mismatch")
 	}
 	return data.Bytes(), nil
 }
 
-// Replace takes over the content of a restored state. It refuses to go back
-// to an older offset than was shown, which would bring old contracts back.
+// Replace replaces the contents of s with those of from. It returns ErrStale if
+// from is older than s, because that would restore outdated contracts.
 func (s *State) Replace(from *State) error {
 	if from.Applied() < s.Applied() {
-		return errors.Wrapf(ErrStale, "snapshot at %d, state at %d", from.Applied(), s.Applied())
+		return errors.Wrapf(ErrStale, "snapshot is at offset %d, state at %d", from.Applied(), s.Applied())
 	}
 	s.Contracts.mu.Lock()
 	s.Contracts.entries = from.Contracts.entries
@@ -178,25 +180,25 @@
 	return nil
 }
 
-// snapshotKey tells interchangeable chunks from others.
-type snapshotKey struct {
+// snapshotID identifies a snapshot; chunks with the same ID are interchangeable.
+type snapshotID struct {
 	asOf   record.Offset
 	digest uint64
 }
 
-// Snapshots collects the chunks seen in the log. It is not part of the state:
-// it only serves to find the newest complete snapshot.
+// Snapshots collects snapshot chunks from the log to find the newest complete
+// snapshot. It is not part of the snapshotted state.
 type Snapshots struct {
 	mu     sync.RWMutex
-	chunks map[snapshotKey]map[int]record.Snapshot
+	chunks map[snapshotID]map[int]record.Snapshot
 	newest []record.Snapshot
 }
 
 func newSnapshots() *Snapshots {
-	return &Snapshots{chunks: map[snapshotKey]map[int]record.Snapshot{}}
+	return &Snapshots{chunks: map[snapshotID]map[int]record.Snapshot{}}
 }
 
-// Add collects a chunk that was read outside the fold.
+// Add collects a chunk read from the log without applying the record.
 func (s *Snapshots) Add(off record.Offset, c record.Snapshot) { s.add(off, c) }
 
 func (s *Snapshots) add(off record.Offset, c record.Snapshot) {
@@ -208,7 +210,7 @@
 	if len(s.newest) > 0 && c.AsOf <= s.newest[0].AsOf {
 		return
 	}
-	key := snapshotKey{c.AsOf, c.Digest}
+	key := snapshotID{c.AsOf, c.Digest}
 	if s.chunks[key] == nil {
 		s.chunks[key] = map[int]record.Snapshot{}
 	}
@@ -216,17 +218,17 @@
 	if len(s.chunks[key]) < c.Count {
 		return
 	}
-	newest := inOrder(s.chunks[key])
-	if _, err := join(newest); err != nil {
-		// A wrong chunk must not hide the last good snapshot.
+	newest := sortChunks(s.chunks[key])
+	if _, err := joinChunks(newest); err != nil {
+		// Keep the last complete snapshot when a newer one is corrupt.
 		delete(s.chunks, key)
 		return
 	}
 	s.newest = newest
-	maps.DeleteFunc(s.chunks, func(k snapshotKey, _ map[int]record.Snapshot) bool { return k.asOf <= c.AsOf })
+	maps.DeleteFunc(s.chunks, func(k snapshotID, _ map[int]record.Snapshot) bool { return k.asOf <= c.AsOf })
 }
 
-func inOrder(chunks map[int]record.Snapshot) []record.Snapshot {
+func sortChunks(chunks map[int]record.Snapshot) []record.Snapshot {
 	ordered := make([]record.Snapshot, 0, len(chunks))
 	for _, i := range slices.Sorted(maps.Keys(chunks)) {
 		ordered = append(ordered, chunks[i])
@@ -241,7 +243,7 @@
 	return slices.Clone(s.newest)
 }
 
-// NewestAsOf returns the offset of the newest complete snapshot, 0 without one.
+// NewestAsOf returns the offset of the newest complete snapshot, or 0 if there is none.
 func (s *Snapshots) NewestAsOf() record.Offset {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/pkg/state/state.go
+++ b/pkg/state/state.go
@@ -1,13 +1,13 @@
-// Package state folds the records of the platform's log into the state that
-// every entry host agrees on.
+// Package state is the replicated state machine of the entry hosts. It applies
+// the records of the platform's log to the state on which all hosts agree.
 //
-// The fold reads no clock, no random number and no map order: the same records
-// give the same state on every host. Each record states its preconditions and
-// is accepted or voided from the records before it alone, so safety depends
-// neither on leases nor on remembering the IDs of past records.
+// Applying a record depends on no clock, random number or map order, so the same
+// records give the same state on every host. A record states its preconditions
+// and is accepted or rejected based on the records before it alone. Safety
+// therefore depends neither on leases nor on deduplicating record IDs.
 //
-// One goroutine applies records. Readers may run at any time: each aggregate
-// has a lock of its own, and readers get copies.
+// Records must be applied by one goroutine. Readers are safe for concurrent
+// use: each part of the state has its own lock, and readers get copies.
 package state
 
 import (
@@ -17,35 +17,35 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// Reasons for which a record is void. They are wrapped with details.
+// Reasons for rejecting a record. They are wrapped with details.
 var (
-	// ErrStale means that a precondition (version, epoch, sequence) no longer holds.
+	// ErrStale means that the expected version, epoch or sequence number is outdated.
 	ErrStale = errors.New("precondition no longer holds")
-	// ErrLimit means that a contract's limit or an endpoint's memory is exhausted.
+	// ErrLimit means that a contract limit or an endpoint's memory is exhausted.
 	ErrLimit = errors.New("limit reached")
-	// ErrUnknown means that the record names something that does not exist.
+	// ErrUnknown means that the record refers to something that does not exist.
 	ErrUnknown = errors.New("no such object")
-	// ErrInvalid means that the content of the record is not valid.
+	// ErrInvalid means that the content of the record is invalid.
 	ErrInvalid = errors.New("invalid record")
 )
 
-// ErrGap is returned by Apply when records were skipped.
+// ErrGap is returned by Apply if records were skipped.
 var ErrGap = errors.New("gap in the log")
 
-// Outcome is what the fold decided about one record.
+// Outcome is the result of applying one record.
 type Outcome struct {
 	Offset record.Offset
 	ID     record.ID
-	// Record is the decoded record; it is empty when the bytes were malformed.
+	// Record is the decoded record, empty if the bytes were malformed.
 	Record record.Record
-	// Void is the reason why the record has no effect, nil when it was accepted.
+	// Void is the reason why the record was rejected, nil if it was accepted.
 	Void error
-	// Decisions holds the reason for each decision of an accepted plan, nil
-	// for those accepted.
+	// Decisions holds the result of each decision of an accepted plan: nil if the
+	// decision was accepted, else the reason for its rejection.
 	Decisions []error
 }
 
-// State is the folded state.
+// State is the replicated state.
 type State struct {
 	applied   atomic.Uint64
 	Contracts *Contracts
@@ -57,7 +57,7 @@
 	Snapshots *Snapshots
 }
 
-// New returns the state before the first record.
+// New returns the empty state before the first record.
 func New() *State {
 	return &State{
 		Contracts: newContracts(),
@@ -70,25 +70,25 @@
 	}
 }
 
-// Applied returns the offset of the last record in the state.
+// Applied returns the offset of the last applied record.
 func (s *State) Applied() record.Offset { return record.Offset(s.applied.Load()) }
 
-// Apply folds the record at offset off. Offsets must follow one another
-// without a gap; records that were applied before are skipped, ok is false.
+// Apply applies the record at offset off. Offsets must be consecutive. A record
+// that was already applied is skipped, and ok is false.
 func (s *State) Apply(off record.Offset, data []byte) (out Outcome, ok bool, err error) {
 	next := s.Applied() + 1
 	if off < next {
 		return Outcome{}, false, nil
 	}
 	if off > next {
-		return Outcome{}, false, errors.Wrapf(ErrGap, "at offset %d, expected %d", off, next)
+		return Outcome{}, false, errors.Wrapf(ErrGap, "got offset %d, expected %d", off, next)
 	}
-	out = s.fold(off, data)
+	out = s.applyRecord(off, data)
 	s.applied.Store(uint64(off))
 	return out, true, nil
 }
 
-func (s *State) fold(off record.Offset, data []byte) Outcome {
+func (s *State) applyRecord(off record.Offset, data []byte) Outcome {
 	r, err := record.Decode(data)
 	if err != nil {
 		return Outcome{Offset: off, Void: err}
@@ -103,20 +103,20 @@
 		out.Void = s.Hosts.renew(off, *r.Renew)
 	case r.Gone != nil:
 		s.Hosts.remove(r.Gone.HostRef)
-		s.Pools.dropFormer(r.Gone.HostRef)
+		s.Pools.removeFormerOwner(r.Gone.HostRef)
 	case r.Claim != nil:
 		out.Void = s.claim(off, *r.Claim)
 	case r.Handover != nil:
 		out.Void = s.handover(off, *r.Handover)
 	case r.Quiesced != nil:
-		s.Pools.quiesced(*r.Quiesced)
+		s.Pools.removeQuiescedOwner(*r.Quiesced)
 	case r.Plan != nil:
 		out.Decisions, out.Void = s.Pools.applyPlan(off, *r.Plan, s.Contracts)
 	case r.Dispatch != nil:
-		s.Keys.dispatch(*r.Dispatch)
+		s.Keys.applyDispatch(*r.Dispatch)
 	case r.Horizon != nil:
-		out.Void = s.Keys.advance(r.Horizon.Before)
-		s.Deferred.dropBefore(s.Keys.Horizon())
+		out.Void = s.Keys.advanceHorizon(r.Horizon.Before)
+		s.Deferred.deleteBefore(s.Keys.Horizon())
 	case r.Snapshot != nil:
 		s.Snapshots.add(off, *r.Snapshot)
 	case r.Defer != nil:
@@ -129,7 +129,7 @@
 	return out
 }
 
-// claim accepts a pool claim of a host with an open session.
+// claim applies a pool claim if its host has an open session.
 func (s *State) claim(off record.Offset, c record.PoolClaim) error {
 	if !s.Hosts.Has(c.Owner) {
 		return errors.Wrapf(ErrUnknown, "session of %s", c.Owner.Host)
--- a/pkg/state/state_test.go
+++ b/pkg/state/state_test.go
@@ -13,13 +13,13 @@
 	"pgregory.net/rapid"
 )
 
-// folder applies records one after the other.
-type folder struct {
+// fixture applies records to a state one at a time.
+type fixture struct {
 	t  *testing.T
 	st *state.State
 }
 
-func (f folder) apply(r record.Record) state.Outcome {
+func (f fixture) apply(r record.Record) state.Outcome {
 	f.t.Helper()
 	data, err := record.Encode(r)
 	if err != nil {
@@ -32,18 +32,17 @@
 	return out
 }
 
-func newFolder(t *testing.T) folder { return folder{t, state.New()} }
+func newFixture(t *testing.T) fixture { return fixture{t, state.New()} }
 
 func contractRecord(base uint64, customer string) record.Record {
 	document := fmt.Sprintf("customer: %s\ncredentials: [{sha256: %064d}]\nmodels: [{name: m, pool: p, weights_mb: 10}]\n", customer, 0)
 	return record.Record{Contract: &record.Contract{Customer: customer, Base: base, Document: []byte(document)}}
 }
 
-// Two operators start from the same version; the first in the log wins, and a
-// delayed copy of an old publication changes nothing.
-func TestPublicationIsCompareAndSet(t *testing.T) {
+// Guards against a concurrent or delayed publication replacing a newer contract.
+func TestContractPublishIsCompareAndSet(t *testing.T) {
 	is := is.New(t)
-	f := newFolder(t)
+	f := newFixture(t)
 	is.NoErr(f.apply(contractRecord(0, "c")).Void)
 	is.True(errors.Is(f.apply(contractRecord(0, "c")).Void, state.ErrStale))
 	is.NoErr(f.apply(contractRecord(1, "c")).Void)
@@ -55,11 +54,11 @@
 	is.True(errors.Is(f.apply(mismatch).Void, state.ErrInvalid))
 }
 
-// Two hosts claim a pool whose owner lapsed; only one gets it, and a copy of
-// its claim that lands after the next claim does not take the pool back.
-func TestClaimFollowsTheEpoch(t *testing.T) {
+// Guards against two hosts claiming the same epoch, and against a delayed copy
+// of a claim taking the pool back.
+func TestPoolClaimRequiresCurrentEpoch(t *testing.T) {
 	is := is.New(t)
-	f := newFolder(t)
+	f := newFixture(t)
 	a, b := record.HostRef{Host: "a", Incarnation: "1"}, record.HostRef{Host: "b", Incarnation: "2"}
 	claim := func(prev record.Offset, owner record.HostRef) record.Record {
 		return record.Record{Claim: &record.PoolClaim{Pool: "p", PrevEpoch: prev, Owner: owner}}
@@ -83,65 +82,63 @@
 	return record.Key{Customer: "c", Value: uuid.Must(uuid.NewV7()).String()}
 }
 
-func claimOf(host string, key record.Key, attempt uint32) record.Record {
+func keyClaimRecord(host string, key record.Key, attempt uint32) record.Record {
 	return record.Record{Dispatch: &record.Dispatch{
 		Holder: record.HostRef{Host: host},
 		Claims: []record.KeyClaim{{Key: key, Attempt: attempt}},
 	}}
 }
 
-// A screen that was never sent can never be sent again: a copy of its claim
-// lands after the key was given back, and holds it for nobody.
-func TestDelayedClaimAfterRelease(t *testing.T) {
+// Guards against a delayed copy of a claim holding a key that has been released.
+func TestStaleKeyClaimAfterReleaseIsRejected(t *testing.T) {
 	is := is.New(t)
-	f := newFolder(t)
+	f := newFixture(t)
 	key := newKey()
-	f.apply(claimOf("a", key, 0))
+	f.apply(keyClaimRecord("a", key, 0))
 	is.Equal(f.st.Keys.Get(key).State, state.KeyClaimed)
 	f.apply(record.Record{Dispatch: &record.Dispatch{
 		Holder:   record.HostRef{Host: "a"},
 		Releases: []record.KeyRelease{{Key: key}},
 	}})
-	f.apply(claimOf("a", key, 0))
+	f.apply(keyClaimRecord("a", key, 0))
 	is.Equal(f.st.Keys.Get(key).State, state.KeyFree)
-	f.apply(claimOf("b", key, 1))
+	f.apply(keyClaimRecord("b", key, 1))
 	is.Equal(f.st.Keys.Get(key).Holder.Host, "b")
 }
 
-// An order confirmation is sent twice: its key was claimed and dropped long
-// ago, and a repeat finds it unknown. Keys older than the horizon are refused.
-func TestKeyOlderThanHorizon(t *testing.T) {
+// Guards against running a request again after its key has been deleted.
+func TestKeyOlderThanHorizonIsRejected(t *testing.T) {
 	is := is.New(t)
-	f := newFolder(t)
+	f := newFixture(t)
 	key := newKey()
-	f.apply(claimOf("a", key, 0))
+	f.apply(keyClaimRecord("a", key, 0))
 	created, _ := key.Time()
 	f.apply(record.Record{Horizon: &record.Horizon{Before: created.Add(time.Second)}})
 	is.Equal(f.st.Keys.Len(), 0)
 	is.Equal(f.st.Keys.Get(key).State, state.KeyExpired)
-	f.apply(claimOf("b", key, 0))
+	f.apply(keyClaimRecord("b", key, 0))
 	is.Equal(f.st.Keys.Get(key).State, state.KeyExpired)
 	is.True(errors.Is(f.apply(record.Record{Horizon: &record.Horizon{Before: created}}).Void, state.ErrStale))
 }
 
-// Two hosts that folded the same records write the same snapshot, and a host
-// restored from it goes on like the others, whatever the records were.
-func TestSnapshotContinuesTheFold(t *testing.T) {
+// Checks that a state restored from a snapshot at any offset stays equal to one
+// that applied all records.
+func TestRestoredStateMatchesReplayedState(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		whole, cut := newFolder(t), newFolder(t)
+		reference, restored := newFixture(t), newFixture(t)
 		keys := []record.Key{newKey(), newKey(), newKey()}
 		n := rapid.IntRange(1, 40).Draw(rt, "records")
 		at := rapid.IntRange(0, n).Draw(rt, "snapshot at")
 		for i := range n {
 			if i == at {
-				cut.st = restore(t, cut.st)
+				restored.st = restore(t, restored.st)
 			}
-			r := drawRecord(rt, whole.st, keys)
-			whole.apply(r)
-			cut.apply(r)
+			r := drawRecord(rt, reference.st, keys)
+			reference.apply(r)
+			restored.apply(r)
 		}
-		if digest(t, whole.st) != digest(t, cut.st) {
-			rt.Fatal("the restored state differs")
+		if snapshotDigest(t, reference.st) != snapshotDigest(t, restored.st) {
+			rt.Fatal("digest of the restored state differs from the reference")
 		}
 	})
 }
@@ -160,7 +157,7 @@
 	case 2:
 		return record.Record{Claim: &record.PoolClaim{Pool: "p", PrevEpoch: epoch, Owner: host}}
 	case 3:
-		return claimOf(host.Host, key, st.Keys.Get(key).Attempt)
+		return keyClaimRecord(host.Host, key, st.Keys.Get(key).Attempt)
 	case 4:
 		return record.Record{Dispatch: &record.Dispatch{Holder: host, Outcomes: []record.KeyOutcome{{Key: key, Status: 200}}}}
 	case 5:
@@ -177,7 +174,7 @@
 	}
 }
 
-func chunksOf(t *testing.T, st *state.State) []record.Snapshot {
+func snapshotChunks(t *testing.T, st *state.State) []record.Snapshot {
 	records, err := st.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -190,20 +187,19 @@
 }
 
 func restore(t *testing.T, st *state.State) *state.State {
-	restored, err := state.Restore(chunksOf(t, st))
+	restored, err := state.Restore(snapshotChunks(t, st))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return restored
 }
 
-func digest(t *testing.T, st *state.State) uint64 { return chunksOf(t, st)[0].Digest }
+func snapshotDigest(t *testing.T, st *state.State) uint64 { return snapshotChunks(t, st)[0].Digest }
 
-// A host that was behind restores a snapshot that is older than what it has
-// shown, and an old contract is in force again. Replace refuses it.
-func TestReplaceNeverGoesBack(t *testing.T) {
+// Guards against an older snapshot restoring an outdated contract.
+func TestReplaceRejectsOlderSnapshot(t *testing.T) {
 	is := is.New(t)
-	f := newFolder(t)
+	f := newFixture(t)
 	f.apply(contractRecord(0, "c"))
 	old := restore(t, f.st)
 	f.apply(contractRecord(1, "c"))
@@ -218,11 +214,10 @@
 	is.Equal(e.Version, uint64(2))
 }
 
-// Endpoints flap for days, and each end is a record. A host that kept all of them would take more
-// memory each day, and so would its snapshots.
+// Guards against unbounded growth of the state when endpoints crash repeatedly.
 func TestCrashesAreBounded(t *testing.T) {
 	is := is.New(t)
-	f := newFolder(t)
+	f := newFixture(t)
 	for range 1000 {
 		f.apply(record.Record{Crashed: &record.Crashed{Endpoint: "e"}})
 	}
