--- a/pkg/contract/check.go
+++ b/pkg/contract/check.go
@@ -8,7 +8,7 @@
 	"github.com/tealvane/tealvane/pkg/yamlx"
 )
 
-// check adds a finding for each rule that the document alone breaks.
+// check adds a finding for each rule that the document violates on its own.
 func (c *Contract) check(doc *yamlx.Document) {
 	if !namePattern.MatchString(c.Customer) {
 		doc.Add("customer", "a name of letters, digits and ._:/- is expected")
@@ -18,18 +18,18 @@
 	if len(c.Models) == 0 || len(c.Models) > maxModels {
 		doc.Add("models", "1 to %d models are expected", maxModels)
 	}
-	kinds := map[string]Model{}
+	byName := map[string]Model{}
 	for i, m := range c.Models {
 		field := fmt.Sprintf("models[%d]", i)
-		if _, twice := kinds[m.Name]; twice {
-			doc.Add(field+".name", "%q is given twice", m.Name)
+		if _, duplicate := byName[m.Name]; duplicate {
+			doc.Add(field+".name", "duplicate name %q", m.Name)
 		}
-		kinds[m.Name] = m
+		byName[m.Name] = m
 		m.checkNames(doc, field, classes)
-		m.checkNumbers(doc, field)
+		m.checkLimits(doc, field)
 	}
 	for i, m := range c.Models {
-		m.checkBase(doc, fmt.Sprintf("models[%d]", i), kinds)
+		m.checkBaseModel(doc, fmt.Sprintf("models[%d]", i), byName)
 	}
 	checkDuration(doc, "key_retention", c.KeyRetention, time.Hour, 90*24*time.Hour)
 	if c.Weights.IdleHour < 0 || c.Weights.ColdStartSecond < 0 {
@@ -53,7 +53,7 @@
 	for i, class := range c.Classes {
 		field := fmt.Sprintf("classes[%d]", i)
 		if !namePattern.MatchString(class.Name) || names[class.Name] {
-			doc.Add(field+".name", "a name not used before is expected")
+			doc.Add(field+".name", "a unique name is expected")
 		}
 		names[class.Name] = true
 		checkDuration(doc, field+".max_wait", class.MaxWait, time.Millisecond, maxWait)
@@ -81,7 +81,7 @@
 	}
 }
 
-func (m Model) checkNumbers(doc *yamlx.Document, field string) {
+func (m Model) checkLimits(doc *yamlx.Document, field string) {
 	if m.Concurrency < 1 || m.Concurrency > maxConcurrency {
 		doc.Add(field+".concurrency", "1 to %d are expected", maxConcurrency)
 	}
@@ -104,7 +104,7 @@
 	checkDuration(doc, field+".load_estimate", m.LoadEstimate, 0, time.Hour)
 }
 
-func (m Model) checkBase(doc *yamlx.Document, field string, all map[string]Model) {
+func (m Model) checkBaseModel(doc *yamlx.Document, field string, all map[string]Model) {
 	if m.Kind != Adapter {
 		if m.BaseModel != "" {
 			doc.Add(field+".base_model", "only adapters have a base model")
@@ -127,35 +127,36 @@
 	}
 }
 
-// CheckCapacity reports what the least replicas of a contract ask beyond the
-// memory of its pools, given in megabytes. others are the other contracts in force.
+// CheckCapacity reports models of c whose pool is unknown or too small for the
+// minimum replicas of all contracts. poolMB is the memory of each pool in
+// megabytes; others are the other contracts in force.
 func (c *Contract) CheckCapacity(poolMB map[string]int64, others []*Contract) finding.List {
-	var found finding.List
-	need := map[string]int64{}
+	var findings finding.List
+	requiredMB := map[string]int64{}
 	for _, other := range append(others, c) {
 		for _, m := range other.Models {
-			need[m.Pool] += int64(m.MinReplicas) * m.MemoryMB()
+			requiredMB[m.Pool] += int64(m.MinReplicas) * m.MemoryMB()
 		}
 	}
 	for i, m := range c.Models {
 		if !m.Loadable() {
 			continue
 		}
-		have, known := poolMB[m.Pool]
+		availableMB, known := poolMB[m.Pool]
 		field := fmt.Sprintf("models[%d].pool", i)
 		if !known {
-			c.add(&found, field, "no endpoint of pool %q is known", m.Pool)
+			c.add(&findings, field, "pool %q has no known endpoint", m.Pool)
 			continue
 		}
-		if m.MinReplicas > 0 && need[m.Pool] > have {
-			c.add(&found, field, "the least replicas of all contracts need %d MB in pool %q, it has %d MB", need[m.Pool], m.Pool, have)
+		if m.MinReplicas > 0 && requiredMB[m.Pool] > availableMB {
+			c.add(&findings, field, "min_replicas of all contracts need %d MB in pool %q, which has %d MB", requiredMB[m.Pool], m.Pool, availableMB)
 		}
 	}
-	return found
+	return findings
 }
 
-func (c *Contract) add(found *finding.List, field, format string, args ...any) {
-	*found = append(*found, finding.Finding{
+func (c *Contract) add(findings *finding.List, field, format string, args ...any) {
+	*findings = append(*findings, finding.Finding{
 		Line:    c.doc.Line(field),
 		Field:   field,
 		Message: fmt.Sprintf(format, args...),
--- a/pkg/contract/contract.go
+++ b/pkg/contract/contract.go
@@ -1,5 +1,5 @@
-// Package contract is the aggregate of a customer's contract: the document
-// that operators publish, its checks, and the limits that follow from it.
+// Package contract defines a customer's contract: its YAML document, the
+// validation of the document and the limits that it sets.
 package contract
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/tealvane/tealvane/pkg/yamlx"
 )
 
-// Kind says what a model entry stands for.
+// Kind is the kind of a model entry.
 type Kind string
 
 // The kinds of model entries.
 const (
-	// Base is a model with weights of its own.
+	// Base is a model with its own weights.
 	Base Kind = "base"
 	// Adapter is loaded on top of a replica of its base model.
 	Adapter Kind = "adapter"
-	// Service is a plain service that is always running and never loaded.
+	// Service is an always running service whose replicas are never loaded.
 	Service Kind = "service"
 )
 
@@ -46,7 +46,7 @@
 	maxRefuseRank  = 9
 )
 
-// Contract is one customer's contract.
+// Contract is a customer's contract.
 type Contract struct {
 	Customer    string       `yaml:"customer"`
 	Credentials []Credential `yaml:"credentials"`
@@ -54,68 +54,70 @@
 	Models      []Model      `yaml:"models"`
 	// KeyRetention is how long the idempotency key of a request is kept.
 	KeyRetention time.Duration `yaml:"key_retention"`
-	// Weights price the two measures against each other. With them the time for
-	// which an idle model stays loaded follows from its own gaps between
-	// requests; without them keep_alive counts.
+	// Weights are the costs of keeping an idle model loaded and of a cold start.
+	// If set, they determine how long an idle model stays loaded; otherwise
+	// keep_alive applies.
 	Weights Weights `yaml:"weights"`
 
 	byName map[string]*Model
 	doc    *yamlx.Document
 }
 
-// Credential is the SHA-256 of a bearer token, in hexadecimal.
+// Credential is the hex-encoded SHA-256 digest of a bearer token.
 type Credential struct {
 	SHA256 string `yaml:"sha256"`
 }
 
-// Class is a class of requests with a common longest wait.
+// Class is a class of requests that share a maximum wait.
 type Class struct {
 	Name    string        `yaml:"name"`
 	MaxWait time.Duration `yaml:"max_wait"`
-	// RefuseRank orders refusals under pressure: a higher rank, from 0 to 9, is
-	// refused first.
+	// RefuseRank is the rank for load shedding, from 0 to 9. Requests of a higher
+	// rank are rejected first.
 	RefuseRank int `yaml:"refuse_rank"`
 }
 
-// Weights are costs; only their ratio matters.
+// Weights are relative costs; only their ratio matters.
 type Weights struct {
 	IdleHour        float64 `yaml:"idle_hour"`
 	ColdStartSecond float64 `yaml:"cold_start_second"`
 }
 
-// Model is one model, adapter or plain service with its limits.
+// Model is a model, adapter or service and its limits.
 type Model struct {
 	Name string `yaml:"name"`
 	Kind Kind   `yaml:"kind"`
-	// BaseModel names the base of an adapter; it stands in the same contract.
+	// BaseModel is the name of an adapter's base model in the same contract.
 	BaseModel string `yaml:"base_model"`
 	Pool      string `yaml:"pool"`
 	Class     string `yaml:"class"`
-	// MinReplicas stay loaded without requests; MaxReplicas bounds all that
-	// are loaded, loading or in doubt.
+	// MinReplicas is the number of replicas that stay loaded without requests.
+	// MaxReplicas bounds the replicas in any phase, including those being loaded
+	// or unloaded.
 	MinReplicas int `yaml:"min_replicas"`
 	MaxReplicas int `yaml:"max_replicas"`
-	// WeightsMB and KVCacheMB are reserved together for one replica.
+	// WeightsMB and KVCacheMB are both reserved for each replica.
 	WeightsMB int64 `yaml:"weights_mb"`
 	KVCacheMB int64 `yaml:"kv_cache_mb"`
-	// Concurrency is the number of requests one replica serves at a time.
+	// Concurrency is the number of requests that a replica serves concurrently.
 	Concurrency int           `yaml:"concurrency"`
 	KeepAlive   time.Duration `yaml:"keep_alive"`
-	// LoadEstimate is the expected load time until one was observed.
+	// LoadEstimate is the expected load time until one has been observed.
 	LoadEstimate time.Duration `yaml:"load_estimate"`
-	// NonIdempotent requests run at most once and need an Idempotency-Key.
+	// NonIdempotent requests run at most once and require an Idempotency-Key.
 	NonIdempotent bool `yaml:"non_idempotent"`
 	// Deferrable requests may be accepted now and answered later.
 	Deferrable bool `yaml:"deferrable"`
 }
 
-// MemoryMB is the accelerator memory of one replica in megabytes.
+// MemoryMB returns the accelerator memory of one replica in megabytes.
 func (m Model) MemoryMB() int64 { return m.WeightsMB + m.KVCacheMB }
 
-// Loadable tells whether replicas of the model are loaded by the system.
+// Loadable reports whether replicas of the model are loaded and unloaded by entry hosts.
 func (m Model) Loadable() bool { return m.Kind != Service }
 
-// Parse decodes and checks one document. All findings are returned together.
+// Parse decodes and validates a document. It returns either a contract or all
+// findings.
 func Parse(file string, data []byte) (*Contract, finding.List) {
 	c := &Contract{}
 	doc := yamlx.Decode(file, data, c)
@@ -124,14 +126,14 @@
 		c.setDefaults()
 		c.check(doc)
 	}
-	if found := doc.Findings(); len(found) > 0 {
-		return nil, found
+	if findings := doc.Findings(); len(findings) > 0 {
+		return nil, findings
 	}
 	c.index()
 	return c, nil
 }
 
-// Model returns the entry of that name.
+// Model returns the model entry with the given name.
 func (c *Contract) Model(name string) (Model, bool) {
 	m, ok := c.byName[name]
 	if !ok {
@@ -140,7 +142,7 @@
 	return *m, true
 }
 
-// Class returns the class of a model; without one the defaults apply.
+// Class returns the class of a model, or default limits if it has none.
 func (c *Contract) Class(m Model) Class {
 	for _, class := range c.Classes {
 		if class.Name == m.Class {
@@ -150,15 +152,14 @@
 	return Class{MaxWait: DefaultMaxWait}
 }
 
-// TokenDigest returns what a credential holds of a token.
+// TokenDigest returns the hex-encoded SHA-256 digest of a token, as in Credential.
 func TokenDigest(token string) []byte {
 	sum := sha256.Sum256([]byte(token))
 	return []byte(hex.EncodeToString(sum[:]))
 }
 
-// Holds tells whether a token's digest is one of the contract's credentials.
-// The comparison takes the same time for every wrong token, so that an
-// attacker learns no prefix of a digest.
+// Holds reports whether digest is one of the contract's credentials. It compares
+// in constant time so that response times reveal nothing about a digest.
 func (c *Contract) Holds(digest []byte) bool {
 	match := 0
 	for _, credential := range c.Credentials {
@@ -197,7 +198,7 @@
 	}
 }
 
-// name allows what stands in URLs and file names without quoting.
+// namePattern allows characters that need no quoting in file names and URLs.
 var (
 	namePattern   = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._:/-]{0,127}$`)
 	digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
--- a/pkg/contract/contract_test.go
+++ b/pkg/contract/contract_test.go
@@ -8,7 +8,7 @@
 	"github.com/tealvane/tealvane/pkg/contract"
 )
 
-const faulty = `customer: ""
+const invalidDocument = `customer: ""
 credentials: [{sha256: xyz}]
 unknown: 1
 models:
@@ -17,37 +17,36 @@
   - {name: b, kind: adapter, base_model: nothing, pool: p, weights_mb: 1}
 `
 
-// Findings of the document's form are all reported at once, and findings of
-// its content all at once when the form is right.
-func TestAllFindingsAtOnce(t *testing.T) {
+// Guards against reporting only the first finding. Semantic findings are reported
+// once the document decodes without errors.
+func TestParseReportsAllFindings(t *testing.T) {
 	is := is.New(t)
-	_, found := contract.Parse("f.yaml", []byte(faulty))
-	is.Equal(len(found), 2)
-	is.True(strings.HasPrefix(found[0].String(), "f.yaml:3: unknown: unknown field"))
-	is.True(strings.HasPrefix(found[1].String(), "f.yaml:6: models[1].weights_mb: "))
+	_, findings := contract.Parse("f.yaml", []byte(invalidDocument))
+	is.Equal(len(findings), 2)
+	is.True(strings.HasPrefix(findings[0].String(), "f.yaml:3: unknown: unknown field"))
+	is.True(strings.HasPrefix(findings[1].String(), "f.yaml:6: models[1].weights_mb: "))
 
-	wellFormed := strings.NewReplacer("unknown: 1\n", "", "ten", "10").Replace(faulty)
-	_, found = contract.Parse("f.yaml", []byte(wellFormed))
+	wellFormed := strings.NewReplacer("unknown: 1\n", "", "ten", "10").Replace(invalidDocument)
+	_, findings = contract.Parse("f.yaml", []byte(wellFormed))
 	var fields []string
-	for _, f := range found {
+	for _, f := range findings {
 		fields = append(fields, f.Field)
 		is.True(f.Line > 0)
 	}
 	is.Equal(strings.Join(fields, " "), "customer credentials[0].sha256 models[0].min_replicas models[0].weights_mb models[1].name models[2].base_model")
 }
 
-// FuzzParse feeds the contract parser with hostile bytes: it must return
-// findings and not fail in any other way.
+// FuzzParse checks that Parse returns either a contract or findings for any input.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(faulty))
+	f.Add([]byte(invalidDocument))
 	f.Add([]byte("a: &a [*a]"))
 	f.Add([]byte("models: {a: b}"))
 	f.Add([]byte("? [x]\n: y"))
 	f.Add([]byte("a: !!binary x\n---\nb: 1"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c, found := contract.Parse("f.yaml", data)
-		if (c == nil) == (len(found) == 0) {
-			t.Fatalf("contract %v with findings %v", c, found)
+		c, findings := contract.Parse("f.yaml", data)
+		if (c == nil) == (len(findings) == 0) {
+			t.Fatalf("Parse returned contract %v and findings %v; want exactly one of them", c, findings)
 		}
 	})
 }
