--- a/pkg/record/bench_test.go
+++ b/pkg/record/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// BenchmarkSize reports the bytes of the records that come most often.
+// BenchmarkSize reports the encoded size of the most frequent records.
 func BenchmarkSize(b *testing.B) {
 	ref := record.HostRef{Host: "entry-host-123", Incarnation: record.Incarnation(uuid.NewString())}
 	key := record.Key{Customer: "customer-12", Value: uuid.Must(uuid.NewV7()).String()}
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -1,9 +1,9 @@
 // Package record defines the records that entry hosts and operators append to
 // the platform's log, and their encoding.
 //
-// Every record carries the preconditions under which it takes effect. The
-// fold in package state accepts or voids it from the records before it alone,
-// so a record that is appended late or twice is harmless.
+// Every record carries the preconditions under which it takes effect. Package
+// state accepts or rejects it based on the records before it alone, so a record
+// that is appended late or twice has no unintended effect.
 package record
 
 import (
@@ -14,29 +14,29 @@
 	"github.com/google/uuid"
 )
 
-// FormatVersion is the encoding version that this build writes.
+// FormatVersion is the version of the encoding that this build writes.
 const FormatVersion = 1
 
-// MaxBytes bounds one encoded record; the log refuses larger ones.
+// MaxBytes is the maximum size of an encoded record; the log rejects larger ones.
 const MaxBytes = 256 << 10
 
-// Offset is a position in the log. Offsets start at 1; 0 means "none".
+// Offset is a position in the log. Offsets start at 1; 0 means none.
 type Offset uint64
 
-// Incarnation identifies one run of a process. A restarted process has a new one.
+// Incarnation identifies one run of a process. It changes with every restart.
 type Incarnation string
 
-// ID identifies one intention to append. A retry repeats the ID.
+// ID identifies a record. A retried append repeats the ID.
 type ID string
 
-// NewID returns a fresh record ID.
+// NewID returns a new record ID.
 func NewID() ID { return ID(uuid.Must(uuid.NewV7()).String()) }
 
-// ErrMalformed is returned for bytes that are no record of a known version.
+// ErrMalformed is returned for bytes that are not a record of a supported version.
 var ErrMalformed = errors.New("malformed record")
 
-// Record is the envelope of one log record. Exactly one body is set; a record
-// without a body that this build knows has no effect.
+// Record is the envelope of a log record. Exactly one body is set. A record
+// whose body is unknown to this build has no effect.
 type Record struct {
 	Version  int          `cbor:"1,keyasint"`
 	ID       ID           `cbor:"2,keyasint"`
@@ -56,15 +56,15 @@
 	Crashed  *Crashed     `cbor:"16,keyasint,omitempty"`
 }
 
-// Contract publishes a customer's contract. It takes effect when Base is the
-// version in force and the document is valid; the new version is Base+1.
+// Contract publishes a customer's contract. It takes effect if Base is the
+// current version and the document is valid; the new version is Base+1.
 type Contract struct {
 	Customer string `cbor:"1,keyasint"`
 	Base     uint64 `cbor:"2,keyasint"`
 	Document []byte `cbor:"3,keyasint"`
 }
 
-// HostRef names one run of an entry host.
+// HostRef identifies one incarnation of an entry host.
 type HostRef struct {
 	Host        string      `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
@@ -77,41 +77,42 @@
 	Zone     string `cbor:"4,keyasint"`
 }
 
-// HostRenew is the heartbeat of a session; one renews all claims of the host.
+// HostRenew is the heartbeat of a session. It renews the host's ownership of all
+// its pools.
 type HostRenew struct {
 	HostRef
-	// Leaving hosts take no more pools.
+	// Leaving hosts are shutting down and claim no more pools.
 	Leaving bool `cbor:"3,keyasint,omitempty"`
 }
 
-// HostGone states that a run of an entry host has ended for good.
+// HostGone closes the session of an incarnation that has terminated.
 type HostGone struct{ HostRef }
 
-// PoolClaim takes a pool. It takes effect when PrevEpoch is still the pool's
-// epoch; the new epoch is the offset of this record.
+// PoolClaim takes ownership of a pool. It takes effect if PrevEpoch is still the
+// pool's epoch; the new epoch is the offset of this record.
 type PoolClaim struct {
 	Pool      string  `cbor:"1,keyasint"`
 	PrevEpoch Offset  `cbor:"2,keyasint"`
 	Owner     HostRef `cbor:"3,keyasint"`
 }
 
-// Handover passes a pool from its owner to another host without a gap.
+// Handover transfers a pool from its owner to another host.
 type Handover struct {
 	Pool  string  `cbor:"1,keyasint"`
 	Epoch Offset  `cbor:"2,keyasint"`
 	To    HostRef `cbor:"3,keyasint"`
 }
 
-// Quiesced states that a former owner has no order for epochs before Epoch
-// under way and will send none.
+// Quiesced states that a previous owner has no commands in flight for epochs
+// before Epoch and will send none.
 type Quiesced struct {
 	Pool  string  `cbor:"1,keyasint"`
 	Epoch Offset  `cbor:"2,keyasint"`
 	Owner HostRef `cbor:"3,keyasint"`
 }
 
-// Plan is a batch of an owner's decisions about its pool. It takes effect
-// when Epoch is the pool's epoch and Seq the number of plans accepted in it.
+// Plan is a batch of decisions by a pool's owner. It takes effect if Epoch is the
+// pool's epoch and Seq is the number of plans accepted in that epoch.
 type Plan struct {
 	Pool      string     `cbor:"1,keyasint"`
 	Epoch     Offset     `cbor:"2,keyasint"`
@@ -119,10 +120,10 @@
 	Decisions []Decision `cbor:"4,keyasint"`
 }
 
-// ReplicaID identifies a replica for ever; an ID is never used again.
+// ReplicaID identifies a replica. IDs are never reused.
 type ReplicaID string
 
-// Decision is one step of a plan. Exactly one field is set.
+// Decision is one decision of a plan. Exactly one field is set.
 type Decision struct {
 	Endpoint *EndpointSeen `cbor:"1,keyasint,omitempty"`
 	Place    *Place        `cbor:"3,keyasint,omitempty"`
@@ -132,7 +133,7 @@
 	Lost     *EndpointLost `cbor:"7,keyasint,omitempty"`
 }
 
-// EndpointSeen registers an endpoint, or its restart under a new incarnation.
+// EndpointSeen registers an endpoint or its restart under a new incarnation.
 type EndpointSeen struct {
 	Endpoint      string      `cbor:"1,keyasint"`
 	Incarnation   Incarnation `cbor:"2,keyasint"`
@@ -142,13 +143,13 @@
 	ChecksFencing bool        `cbor:"6,keyasint"`
 }
 
-// EndpointLost removes an endpoint that has left the platform's list.
+// EndpointLost removes an endpoint that is no longer in the platform's list.
 type EndpointLost struct {
 	Endpoint    string      `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
 }
 
-// Place reserves memory for a replica and allows its load order.
+// Place reserves memory for a replica. It must precede the load command.
 type Place struct {
 	Replica  ReplicaID `cbor:"1,keyasint"`
 	Customer string    `cbor:"2,keyasint"`
@@ -156,29 +157,30 @@
 	Endpoint string    `cbor:"4,keyasint"`
 }
 
-// Ready states that the endpoint has reported the replica loaded.
+// Ready states that the endpoint has reported the replica as loaded.
 type Ready struct {
 	Replica ReplicaID `cbor:"1,keyasint"`
 }
 
-// Retire ends routing to a replica; its memory stays reserved.
+// Retire stops routing to a replica. Its memory stays reserved.
 type Retire struct {
 	Replica ReplicaID `cbor:"1,keyasint"`
 }
 
-// Free gives the memory of a retired replica back after its unload was confirmed.
+// Free releases the memory of a retired replica after its unload is confirmed.
 type Free struct {
 	Replica ReplicaID `cbor:"1,keyasint"`
 }
 
-// Key identifies a non-idempotent request of a customer. Value is a version 7
-// UUID, whose time decides whether the key is older than the horizon.
+// Key is the idempotency key of a customer's request. Value is a version 7 UUID,
+// whose timestamp is compared with the horizon.
 type Key struct {
 	Customer string `cbor:"1,keyasint"`
 	Value    string `cbor:"2,keyasint"`
 }
 
-// Time returns the key's creation time, false when the value is no version 7 UUID.
+// Time returns the creation time of the key. It returns false if the value is not
+// a version 7 UUID.
 func (k Key) Time() (time.Time, bool) {
 	id, err := uuid.Parse(k.Value)
 	if err != nil || id.Version() != 7 {
@@ -195,17 +197,17 @@
 	Releases []KeyRelease `cbor:"4,keyasint,omitempty"`
 }
 
-// KeyClaim takes a key before its request is sent to an endpoint. Attempt is
-// the number of releases before it.
+// KeyClaim claims a key before its request is sent to an endpoint. Attempt is the
+// number of times the key has been released before.
 type KeyClaim struct {
 	Key
 	Attempt uint32 `cbor:"3,keyasint"`
-	// Digest is a hash of the request, to tell a repeat from another request
-	// under the same key.
+	// Digest is a hash of the request. It distinguishes a retry from a different
+	// request with the same key.
 	Digest uint64 `cbor:"4,keyasint"`
 }
 
-// KeyOutcome keeps the answer for repeats of the request.
+// KeyOutcome stores the response for retries of the request.
 type KeyOutcome struct {
 	Key
 	Status  int    `cbor:"3,keyasint"`
@@ -213,18 +215,19 @@
 	Omitted bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// KeyRelease gives back a key whose request was certainly not sent.
+// KeyRelease releases a key whose request was certainly not sent.
 type KeyRelease struct {
 	Key
 	Attempt uint32 `cbor:"3,keyasint"`
 }
 
-// Horizon forbids keys created before a time and drops what is kept of them.
+// Horizon rejects idempotency keys and deferred requests created before a time and
+// deletes those held.
 type Horizon struct {
 	Before time.Time `cbor:"1,keyasint"`
 }
 
-// Deferred accepts a request whose answer is fetched later. ID is a version 7 UUID.
+// Deferred accepts a request whose response is fetched later. ID is a version 7 UUID.
 type Deferred struct {
 	ID       string `cbor:"1,keyasint"`
 	Customer string `cbor:"2,keyasint"`
@@ -232,30 +235,31 @@
 	Body     []byte `cbor:"4,keyasint"`
 }
 
-// DeferFinish records the whole answer of a deferred request. The first one wins.
+// DeferFinish stores the complete response to a deferred request. Only the first
+// one takes effect.
 type DeferFinish struct {
 	ID     string `cbor:"1,keyasint"`
 	Status int    `cbor:"2,keyasint"`
 	Body   []byte `cbor:"3,keyasint"`
 }
 
-// Crashed states that an endpoint has ended while requests ran there. Hosts that saw the same
-// end each tell what ran there on their account.
+// Crashed reports that an endpoint crashed with requests in flight. Every host
+// that observes the crash reports its own requests.
 type Crashed struct {
-	// Endpoint is the ID of a replica, or of an incarnation of a plain service.
+	// Endpoint is the ID of a replica, or the incarnation of a service.
 	Endpoint string           `cbor:"1,keyasint"`
 	Requests []CrashedRequest `cbor:"2,keyasint"`
 	At       time.Time        `cbor:"3,keyasint"`
 }
 
-// CrashedRequest names a request by digests of what it asks for and of who asks.
+// CrashedRequest identifies a request by digests of its content and its caller.
 type CrashedRequest struct {
 	Content uint64 `cbor:"1,keyasint"`
 	Caller  uint64 `cbor:"2,keyasint"`
 }
 
-// Snapshot is one chunk of the folded state after offset AsOf. Chunks with the
-// same AsOf and Digest are interchangeable, whoever wrote them.
+// Snapshot is one chunk of a snapshot of the state at offset AsOf. Chunks with the
+// same AsOf and Digest are interchangeable, regardless of the host that wrote them.
 type Snapshot struct {
 	AsOf   Offset `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"`
@@ -264,8 +268,8 @@
 	Data   []byte `cbor:"5,keyasint"`
 }
 
-// Limits on decoded input; they bound memory for hostile bytes. A snapshot may
-// hold more elements: its bytes are bounded and were digested before.
+// Limits on decoded input that bound its memory. The limit for a snapshot is
+// higher, because its size is bounded and its digest has been verified.
 const (
 	maxElements         = 100_000
 	maxSnapshotElements = 50_000_000
@@ -278,8 +282,8 @@
 	snapshotMode = must(decOptions(maxSnapshotElements).DecMode())
 )
 
-func decOptions(elements int) cbor.DecOptions {
-	return cbor.DecOptions{MaxArrayElements: elements, MaxMapPairs: elements, MaxNestedLevels: maxNesting}
+func decOptions(maxItems int) cbor.DecOptions {
+	return cbor.DecOptions{MaxArrayElements: maxItems, MaxMapPairs: maxItems, MaxNestedLevels: maxNesting}
 }
 
 func must[T any](v T, err error) T {
@@ -289,17 +293,17 @@
 	return v
 }
 
-// Marshal encodes v deterministically: equal values give equal bytes.
+// Marshal encodes v deterministically: equal values have equal encodings.
 func Marshal(v any) ([]byte, error) { return encMode.Marshal(v) }
 
-// Unmarshal decodes bytes written by Marshal; sizes are bounded and unknown
-// fields are ignored.
+// Unmarshal decodes data written by Marshal. It limits the size of the input and
+// ignores unknown fields.
 func Unmarshal(data []byte, v any) error { return decMode.Unmarshal(data, v) }
 
-// UnmarshalSnapshot decodes the joined data of a snapshot.
+// UnmarshalSnapshot decodes the joined chunks of a snapshot.
 func UnmarshalSnapshot(data []byte, v any) error { return snapshotMode.Unmarshal(data, v) }
 
-// Encode returns the record's bytes; it fails for a record above MaxBytes.
+// Encode returns the encoding of a record, or an error if it exceeds MaxBytes.
 func Encode(r Record) ([]byte, error) {
 	r.Version = FormatVersion
 	data, err := Marshal(r)
@@ -307,22 +311,22 @@
 		return nil, errors.Wrap(err, "encode record")
 	}
 	if len(data) > MaxBytes {
-		return nil, errors.Newf("record has %d bytes, at most %d are allowed", len(data), MaxBytes)
+		return nil, errors.Newf("record has %d bytes, the maximum is %d", len(data), MaxBytes)
 	}
 	return data, nil
 }
 
-// Decode parses the bytes of one record.
+// Decode decodes a record. It returns ErrMalformed if data is not a valid record.
 func Decode(data []byte) (Record, error) {
 	var r Record
 	if len(data) > MaxBytes {
-		return r, errors.Wrapf(ErrMalformed, "%d bytes", len(data))
+		return r, errors.Wrapf(ErrMalformed, "record has %d bytes, the maximum is %d", len(data), MaxBytes)
 	}
 	if err := Unmarshal(data, &r); err != nil {
 		return Record{}, errors.Wrapf(ErrMalformed, "%v", err)
 	}
 	if r.Version < 1 || r.Version > FormatVersion {
-		return Record{}, errors.Wrapf(ErrMalformed, "version %d", r.Version)
+		return Record{}, errors.Wrapf(ErrMalformed, "unsupported version %d", r.Version)
 	}
 	return r, nil
 }
--- a/pkg/record/record_test.go
+++ b/pkg/record/record_test.go
@@ -7,9 +7,8 @@
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-// FuzzDecode feeds the decoder and the fold with hostile bytes: operators and
-// other versions write to the same log. A record is refused or folded, and
-// what was decoded can be encoded again.
+// FuzzDecode checks that arbitrary bytes are either rejected or applied without an
+// error, and that a decoded record can be encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, r := range []record.Record{
 		{Renew: &record.HostRenew{HostRef: record.HostRef{Host: "h"}}},
