--- a/pkg/journal/journal.go
+++ b/pkg/journal/journal.go
@@ -1,6 +1,6 @@
-// Package journal connects the fold to the platform's log: it appends records
-// and settles lost answers by reading, follows the log and, while the log is
-// out of reach, the other hosts, and restores the state from snapshots.
+// Package journal keeps the replicated state in step with the platform's log. It
+// appends records, reads new records from the log or, if the log is unavailable,
+// from other hosts, and restores the state from snapshots.
 package journal
 
 import (
@@ -16,74 +16,75 @@
 )
 
 var (
-	// ErrUnsettled means that a record may or may not take effect.
-	ErrUnsettled = errors.New("append is not settled")
-	// ErrNotAppended means that a record will never take effect.
-	ErrNotAppended = errors.New("not appended")
+	// ErrUnsettled means that it is unknown whether the record takes effect.
+	ErrUnsettled = errors.New("outcome of append is unknown")
+	// ErrNotAppended means that the record was not appended and has no effect.
+	ErrNotAppended = errors.New("record not appended")
 )
 
 const (
-	readLimit    = 1000
-	readWait     = 5 * time.Second
-	retryPause   = 200 * time.Millisecond
-	recentLimit  = 20_000
-	recentBytes  = 16 << 20
-	peerReadWait = 500 * time.Millisecond
+	maxReadRecords   = 1000
+	logReadWait      = 5 * time.Second
+	retryInterval    = 200 * time.Millisecond
+	maxRecentRecords = 20_000
+	maxRecentBytes   = 16 << 20
+	peerReadWait     = 500 * time.Millisecond
 )
 
-// Peers reads the log's tail from another host.
+// Peers reads recent records and snapshots from other hosts.
 type Peers interface {
 	external.LogReader
-	// Snapshot returns the chunks of another host's newest state.
+	// Snapshot returns the chunks of a snapshot of another host's state.
 	Snapshot(ctx context.Context) ([]record.Snapshot, error)
 }
 
-// Journal follows one log into one state.
+// Journal applies the records of a log to a state.
 type Journal struct {
 	log   external.Log
 	peers Peers
 	state *state.State
 
-	// applyMu keeps snapshots of the state apart from changes to it.
+	// applyMu serializes snapshots of the state and changes to it.
 	applyMu sync.Mutex
 	mu      sync.Mutex
 	waiters map[record.ID]chan state.Outcome
 	changed chan struct{}
-	recent  []external.Entry
-	bytes   int
-	// reset is closed when the state jumped over records.
+	// recent holds the newest applied records, for hosts that cannot reach the log.
+	recent      []external.Entry
+	recentBytes int
+	// reset is closed when the state is replaced by a snapshot.
 	reset chan struct{}
 
-	readable atomic.Bool
-	writable atomic.Bool
-	caughtUp atomic.Bool
-	observe  func(state.Outcome)
+	readable  atomic.Bool
+	writable  atomic.Bool
+	caughtUp  atomic.Bool
+	onApplied func(state.Outcome)
 }
 
-// New returns a journal. observe is called for each folded record, in order;
-// it must not block.
-func New(log external.Log, peers Peers, st *state.State, observe func(state.Outcome)) *Journal {
+// New returns a journal. onApplied is called for each applied record in log
+// order and must not block.
+func New(log external.Log, peers Peers, st *state.State, onApplied func(state.Outcome)) *Journal {
 	j := &Journal{
-		log:     log,
-		peers:   peers,
-		state:   st,
-		waiters: map[record.ID]chan state.Outcome{},
-		changed: make(chan struct{}),
-		reset:   make(chan struct{}),
-		observe: observe,
+		log:       log,
+		peers:     peers,
+		state:     st,
+		waiters:   map[record.ID]chan state.Outcome{},
+		changed:   make(chan struct{}),
+		reset:     make(chan struct{}),
+		onApplied: onApplied,
 	}
 	j.writable.Store(true)
 	return j
 }
 
-// Readable tells whether the last read of the log itself succeeded.
+// Readable reports whether the last read of the log succeeded.
 func (j *Journal) Readable() bool { return j.readable.Load() }
 
-// Writable tells whether the last append was answered.
+// Writable reports whether the last append to the log succeeded.
 func (j *Journal) Writable() bool { return j.writable.Load() }
 
-// CaughtUp tells whether the state has once reached the end of the log, or of
-// what another host had.
+// CaughtUp reports whether the state has ever reached the end of the log, or of
+// the records of another host.
 func (j *Journal) CaughtUp() bool { return j.caughtUp.Load() }
 
 // Changed returns a channel that is closed at the next change of the state.
@@ -93,10 +94,13 @@
 	return j.changed
 }
 
-// Append adds a record and returns what the fold decided about it. A lost
-// answer is settled by reading; retries repeat the record ID, and the fold's
-// preconditions make a second copy harmless. The error wraps ErrUnsettled when
-// ctx ends first, or ErrNotAppended.
+// Append appends a record and blocks until it has been applied. It returns the
+// outcome.
+//
+// If the response to an append is lost, Append retries with the same record ID
+// until it reads the record back from the log. The preconditions of the record
+// make a second copy harmless. The error wraps ErrNotAppended, or ErrUnsettled if
+// ctx ends first or the state is replaced by a snapshot.
 func (j *Journal) Append(ctx context.Context, r record.Record) (state.Outcome, error) {
 	if r.ID == "" {
 		r.ID = record.NewID()
@@ -105,8 +109,8 @@
 	if err != nil {
 		return state.Outcome{}, errors.Wrapf(ErrNotAppended, "%v", err)
 	}
-	waiter, reset := j.watch(r.ID)
-	defer j.unwatch(r.ID)
+	waiter, reset := j.addWaiter(r.ID)
+	defer j.removeWaiter(r.ID)
 	for attempt := 0; ; attempt++ {
 		_, err := j.log.Append(ctx, data)
 		j.writable.Store(err == nil || ctx.Err() != nil && j.writable.Load())
@@ -115,13 +119,13 @@
 		}
 		var retry <-chan time.Time
 		if err != nil {
-			retry = time.After(retryPause)
+			retry = time.After(retryInterval)
 		}
 		select {
 		case out := <-waiter:
 			return out, nil
 		case <-reset:
-			return state.Outcome{}, errors.Wrap(ErrUnsettled, "the state was restored from a snapshot")
+			return state.Outcome{}, errors.Wrap(ErrUnsettled, "state was replaced by a snapshot")
 		case <-ctx.Done():
 			return state.Outcome{}, errors.Wrapf(ErrUnsettled, "%v", context.Cause(ctx))
 		case <-retry:
@@ -129,7 +133,7 @@
 	}
 }
 
-func (j *Journal) watch(id record.ID) (<-chan state.Outcome, <-chan struct{}) {
+func (j *Journal) addWaiter(id record.ID) (<-chan state.Outcome, <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	c := make(chan state.Outcome, 1)
@@ -137,38 +141,40 @@
 	return c, j.reset
 }
 
-func (j *Journal) unwatch(id record.ID) {
+func (j *Journal) removeWaiter(id record.ID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	delete(j.waiters, id)
 }
 
-// Run follows the log until ctx ends.
+// Run reads and applies records until ctx ends. If a read from the log fails, it
+// reads from another host.
 func (j *Journal) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := j.follow(ctx, j.log, readWait); err == nil {
+		if err := j.readAndApply(ctx, j.log, logReadWait); err == nil {
 			j.readable.Store(true)
 			continue
 		}
 		j.readable.Store(false)
 		if j.peers != nil {
-			if err := j.follow(ctx, j.peers, peerReadWait); err == nil {
+			if err := j.readAndApply(ctx, j.peers, peerReadWait); err == nil {
 				continue
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// follow reads once and folds what it got.
-func (j *Journal) follow(ctx context.Context, from external.LogReader, wait time.Duration) error {
+// readAndApply reads once and applies the records. It restores the state from a
+// snapshot if the next record has been trimmed.
+func (j *Journal) readAndApply(ctx context.Context, from external.LogReader, wait time.Duration) error {
 	if !j.CaughtUp() {
 		wait = 0
 	}
-	entries, err := from.Read(ctx, j.state.Applied()+1, readLimit, wait)
+	entries, err := from.Read(ctx, j.state.Applied()+1, maxReadRecords, wait)
 	var trimmed *external.TrimmedError
 	if errors.As(err, &trimmed) {
 		return j.restore(ctx, from, trimmed.First)
@@ -181,7 +187,7 @@
 			return err
 		}
 	}
-	if len(entries) < readLimit {
+	if len(entries) < maxReadRecords {
 		j.caughtUp.Store(true)
 	}
 	return nil
@@ -194,8 +200,8 @@
 	if err != nil || !ok {
 		return err
 	}
-	if j.observe != nil {
-		j.observe(out)
+	if j.onApplied != nil {
+		j.onApplied(out)
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -203,23 +209,25 @@
 		delete(j.waiters, out.ID)
 		c <- out
 	}
-	j.remember(e)
+	j.appendRecent(e)
 	close(j.changed)
 	j.changed = make(chan struct{})
 	return nil
 }
 
-// remember keeps recent records for other hosts that cannot reach the log.
-func (j *Journal) remember(e external.Entry) {
+// appendRecent adds a record to recent and drops the oldest ones above the limits.
+// It must be called with mu held.
+func (j *Journal) appendRecent(e external.Entry) {
 	j.recent = append(j.recent, e)
-	j.bytes += len(e.Data)
-	for len(j.recent) > recentLimit || j.bytes > recentBytes {
-		j.bytes -= len(j.recent[0].Data)
+	j.recentBytes += len(e.Data)
+	for len(j.recent) > maxRecentRecords || j.recentBytes > maxRecentBytes {
+		j.recentBytes -= len(j.recent[0].Data)
 		j.recent = j.recent[1:]
 	}
 }
 
-// Recent serves the tail to other hosts, as the log would.
+// Recent returns up to limit applied records from an offset on, for other hosts.
+// It returns external.TrimmedError if that offset is no longer held.
 func (j *Journal) Recent(from record.Offset, limit int) ([]external.Entry, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
