--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the YAML settings of an entry host.
+// Package settings loads and validates the YAML settings of an entry host.
 package settings
 
 import (
@@ -17,7 +17,7 @@
 
 // Settings are the settings of one entry host.
 type Settings struct {
-	// Host is the name of the entry host, unique among those that run.
+	// Host is the name of the entry host. It must be unique among running hosts.
 	Host string `yaml:"host"`
 	// Zone is the availability zone in which the host runs.
 	Zone      string    `yaml:"availability_zone"`
@@ -27,72 +27,74 @@
 	Platform  Platform  `yaml:"platform"`
 	Timing    Timing    `yaml:"timing"`
 	Store     Store     `yaml:"weight_store"`
-	// OTLP is the base URL of a trace collector; empty exports no traces.
+	// OTLP is the base URL of a trace collector. If empty, no traces are exported.
 	OTLP string `yaml:"otlp"`
 }
 
-// Listener is an address to listen on, as IP number and port.
+// Listener is the listener for client requests, an IP address with a port.
 type Listener struct {
 	Listen string `yaml:"listen"`
 }
 
-// Operators is the listener of the operators' interface.
+// Operators configures the listener of the operator API.
 type Operators struct {
 	Listen string `yaml:"listen"`
-	// TokenSHA256 is the digest of the operators' bearer token. Without one
-	// the interface must listen on a loopback address.
+	// TokenSHA256 is the hex-encoded digest of the operators' bearer token. It may
+	// be empty only if Listen is a loopback address.
 	TokenSHA256 string `yaml:"token_sha256"`
 }
 
-// Peers is the address and identity towards other entry hosts.
+// Peers configures the connections between entry hosts.
 type Peers struct {
 	Listen string `yaml:"listen"`
-	// Advertise is the address that other hosts use; by default the one listened on.
+	// Advertise is the address that other hosts connect to. It defaults to Listen.
 	Advertise string `yaml:"advertise"`
 	CA        string `yaml:"ca_file"`
 	Cert      string `yaml:"cert_file"`
 	Key       string `yaml:"key_file"`
 }
 
-// Platform holds the base URLs of the outside systems.
+// Platform holds the base URLs of the platform's services.
 type Platform struct {
 	Log    string `yaml:"log"`
 	Stream string `yaml:"stream"`
 	Hosts  string `yaml:"host_list"`
-	// WeightStore is asked for its limits; empty takes them from weight_store.
+	// WeightStore is the service that reports the limits of the weight store. If
+	// empty, only the limits in weight_store apply.
 	WeightStore string `yaml:"weight_store"`
 }
 
-// Store is the share of the weight store that each pool may use. The store's own
-// limits go first where they are lower.
+// Store limits the loads of each pool from the weight store. Lower limits that
+// the store reports take precedence.
 type Store struct {
 	Concurrent int     `yaml:"concurrent"`
 	PerSecond  float64 `yaml:"per_second"`
 }
 
-// Timing holds all periods; see Default for their defaults.
+// Timing holds all intervals and timeouts.
 type Timing struct {
-	// SessionRenew is the period of a host's heartbeat in the log.
+	// SessionRenew is the interval of the host's heartbeats in the log.
 	SessionRenew time.Duration `yaml:"session_renew"`
-	// SessionTTL is how long a silent host keeps its pools.
+	// SessionTTL is the time without a heartbeat after which a host loses its pools.
 	SessionTTL time.Duration `yaml:"session_ttl"`
-	// Tick is the period of the owner's decisions and of usage reports.
+	// Tick is the interval of a pool owner's decisions and of usage reports.
 	Tick time.Duration `yaml:"tick"`
-	// HostListPoll and Probe are the periods of the list and of status calls.
+	// HostListPoll is the interval of reading the host list, Probe that of status
+	// calls to endpoints.
 	HostListPoll time.Duration `yaml:"host_list_poll"`
 	Probe        time.Duration `yaml:"probe"`
-	// BatchInterval separates two records of idempotency keys.
+	// BatchInterval is the minimum interval between two records of idempotency keys.
 	BatchInterval time.Duration `yaml:"batch_interval"`
-	// ReadinessLag is how long a stopping host still takes new requests,
-	// because the balancer notices late.
+	// ReadinessLag is how long a host that shuts down accepts new requests, until
+	// the load balancer has seen that it is not ready.
 	ReadinessLag time.Duration `yaml:"readiness_lag"`
-	// DrainTimeout bounds a graceful shutdown.
+	// DrainTimeout bounds the duration of a graceful shutdown.
 	DrainTimeout time.Duration `yaml:"drain_timeout"`
-	// SnapshotEvery is the number of records between two snapshots.
+	// SnapshotEvery is the number of log records between two snapshots.
 	SnapshotEvery int `yaml:"snapshot_every"`
 }
 
-// Default returns the settings before a file is read. All defaults stand here.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		Callers:   Listener{Listen: "127.0.0.1:7001"},
@@ -114,17 +116,17 @@
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return Settings{}, errors.Wrap(err, "settings")
+		return Settings{}, errors.Wrap(err, "read settings")
 	}
-	s, found := Parse(file, data)
-	return s, found.Err()
+	s, findings := Parse(file, data)
+	return s, findings.Err()
 }
 
-// Parse decodes and checks settings; all findings are returned together.
+// Parse decodes and validates settings. It returns all findings.
 func Parse(file string, data []byte) (Settings, finding.List) {
 	s := Default()
 	doc := yamlx.Decode(file, data, &s)
@@ -156,7 +158,7 @@
 	if s.OTLP != "" {
 		checkURL(doc, "otlp", s.OTLP)
 	}
-	if s.Operators.TokenSHA256 == "" && !loopback(s.Operators.Listen) {
+	if s.Operators.TokenSHA256 == "" && !isLoopback(s.Operators.Listen) {
 		doc.Add("operators.token_sha256", "is required unless operators.listen is a loopback address")
 	}
 	s.Timing.check(doc)
@@ -172,16 +174,16 @@
 		"peers.key_file":  s.Peers.Key,
 	} {
 		if file == "" {
-			doc.Add(field, "a file is expected; peers authenticate each other")
+			doc.Add(field, "a file is expected: entry hosts authenticate each other with TLS")
 		}
 	}
 }
 
 func (t Timing) check(doc *yamlx.Document) {
 	for _, p := range []struct {
-		field string
-		value time.Duration
-		low   time.Duration
+		field   string
+		value   time.Duration
+		minimum time.Duration
 	}{
 		{"timing.session_renew", t.SessionRenew, 100 * time.Millisecond},
 		{"timing.session_ttl", t.SessionTTL, 2 * t.SessionRenew},
@@ -192,8 +194,8 @@
 		{"timing.readiness_lag", t.ReadinessLag, 0},
 		{"timing.drain_timeout", t.DrainTimeout, time.Second},
 	} {
-		if p.value < p.low {
-			doc.Add(p.field, "at least %s is expected", p.low)
+		if p.value < p.minimum {
+			doc.Add(p.field, "at least %s is expected", p.minimum)
 		}
 	}
 	if t.SnapshotEvery < 100 {
@@ -204,23 +206,23 @@
 func checkAddr(doc *yamlx.Document, field, addr string) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil || net.ParseIP(host) == nil {
-		doc.Add(field, "%q is no IP number with port", addr)
+		doc.Add(field, "%q is not an IP address with a port", addr)
 	}
 }
 
-func checkURL(doc *yamlx.Document, field, raw string) {
-	u, err := url.Parse(raw)
+func checkURL(doc *yamlx.Document, field, value string) {
+	u, err := url.Parse(value)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		doc.Add(field, "%q is no http or https URL", raw)
+		doc.Add(field, "%q is not an http or https URL", value)
 	}
 }
 
-func loopback(addr string) bool {
+func isLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	return err == nil && net.ParseIP(host) != nil && net.ParseIP(host).IsLoopback()
 }
 
-// TLS loads the identity towards other entry hosts.
+// TLS loads the host's certificate and the CA for connections to other hosts.
 func (p Peers) TLS() (*tls.Config, error) {
 	cert, err := tls.LoadX509KeyPair(p.Cert, p.Key)
 	if err != nil {
@@ -232,7 +234,7 @@
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, errors.Newf("peers.ca_file: %s holds no certificate", p.CA)
+		return nil, errors.Newf("peers.ca_file: no certificate in %s", p.CA)
 	}
 	return peer.TLSConfig(cert, roots), nil
 }
