--- a/pkg/entryhost/door.go
+++ b/pkg/entryhost/callers.go
@@ -10,41 +10,34 @@
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-const (
-	// maxRequestBytes bounds a document that an operator publishes.
-	maxRequestBytes = 4 << 20
-	// readHeaderTimeout ends connections that send no request.
-	readHeaderTimeout = 10 * time.Second
-)
-
-// door returns the callers' interface of the host.
-func (h *Host) door() openai.Door { return openai.Door{Host: doorHost{h}, Runner: h.runner} }
+// callersAPI returns the API for callers.
+func (h *Host) callersAPI() openai.Door { return openai.Door{Host: callersHost{h}, Runner: h.runner} }
 
-// doorHost is the host as the door needs it. It implements openai.Host.
-type doorHost struct{ host *Host }
+// callersHost implements openai.Host.
+type callersHost struct{ host *Host }
 
 // Authenticate implements openai.Host.
-func (d doorHost) Authenticate(token string) (state.ContractEntry, bool) {
-	return d.host.state.Contracts.Authenticate(token)
+func (c callersHost) Authenticate(token string) (state.ContractEntry, bool) {
+	return c.host.state.Contracts.Authenticate(token)
 }
 
 // Now implements openai.Host.
-func (d doorHost) Now() time.Time { return d.host.now() }
+func (c callersHost) Now() time.Time { return c.host.now() }
 
 // Stopping implements openai.Host.
-func (d doorHost) Stopping() bool { return d.host.stopping.Load() }
+func (c callersHost) Stopping() bool { return c.host.stopping.Load() }
 
 // Defer implements openai.Host.
-func (d doorHost) Defer(ctx context.Context, r record.Deferred) error {
-	return errors.Wrap(d.host.appendSoon(ctx, record.Record{Defer: &r}), "deferred request")
+func (c callersHost) Defer(ctx context.Context, r record.Deferred) error {
+	return errors.Wrap(c.host.appendWithTimeout(ctx, record.Record{Defer: &r}), "append deferred request")
 }
 
 // Deferred implements openai.Host.
-func (d doorHost) Deferred(id string) (state.DeferredRequest, bool) {
-	return d.host.state.Deferred.Get(id)
+func (c callersHost) Deferred(id string) (state.DeferredRequest, bool) {
+	return c.host.state.Deferred.Get(id)
 }
 
-// keys keeps idempotency keys in the log. It implements completion.Keys.
+// keys stores idempotency keys in the log. It implements completion.Keys.
 type keys struct{ host *Host }
 
 // Claim implements completion.Keys.
@@ -58,8 +51,8 @@
 // Release implements completion.Keys.
 func (k keys) Release(key record.Key) { k.host.ledger.Release(key) }
 
-// Await implements completion.Keys. It waits for the next change of the state
-// while the attempt that holds the key can still record its outcome.
+// Await implements completion.Keys. It returns false if the host that claimed the key is no longer
+// live. Otherwise it blocks until the state changes or ctx ends.
 func (k keys) Await(ctx context.Context, key record.Key) bool {
 	h := k.host
 	changed := h.journal.Changed()
--- a/pkg/entryhost/contract_test.go
+++ b/pkg/entryhost/contract_test.go
@@ -12,22 +12,22 @@
 	"pgregory.net/rapid"
 )
 
-// inForceWithin is the time within which a change must be in force.
-const inForceWithin = 3 * time.Second
+// propagationLimit is the time within which a published contract must be in force at all hosts.
+const propagationLimit = 3 * time.Second
 
-// revision returns a contract that differs by its comment.
+// revision returns a distinct contract document for each n.
 func revision(n int) string { return fmt.Sprintf("# revision %d\n%s", n, testContract) }
 
-// watcher notes what a host shows as the contract in force.
-type watcher struct {
+// contractWatcher checks which contracts hosts have in force.
+type contractWatcher struct {
 	mu       sync.Mutex
 	problems []string
 	stop     chan struct{}
 	running  sync.WaitGroup
 }
 
-// watch polls one run of a host until it is dead.
-func (w *watcher) watch(h *fakeHost, document func(version uint64) string) {
+// watch polls a host until it is killed.
+func (w *contractWatcher) watch(h *fakeHost, document func(version uint64) string) {
 	w.running.Go(func() {
 		last := uint64(0)
 		for !h.dead.Load() {
@@ -35,7 +35,7 @@
 				w.check(h, e.Version, last, string(e.Document) == document(e.Version))
 				last = e.Version
 			} else if last > 0 {
-				w.note("%s lost its contract", h.settings.Host)
+				w.addProblem("%s no longer has a contract", h.settings.Host)
 			}
 			select {
 			case <-w.stop:
@@ -46,31 +46,31 @@
 	})
 }
 
-func (w *watcher) check(h *fakeHost, version, last uint64, known bool) {
+func (w *contractWatcher) check(h *fakeHost, version, last uint64, known bool) {
 	if version < last {
-		w.note("%s went back from version %d to %d", h.settings.Host, last, version)
+		w.addProblem("%s reverted from version %d to %d", h.settings.Host, last, version)
 	}
 	if !known {
-		w.note("%s shows a document for version %d that was not accepted", h.settings.Host, version)
+		w.addProblem("%s has a document for version %d that was not accepted", h.settings.Host, version)
 	}
 }
 
-func (w *watcher) note(format string, args ...any) {
+func (w *contractWatcher) addProblem(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.problems = append(w.problems, fmt.Sprintf(format, args...))
 }
 
-// contractWorld is a set of hosts whose contracts change.
-type contractWorld struct {
-	*fakes
+// contractCluster is a cluster whose contracts are watched.
+type contractCluster struct {
+	*fakeCluster
 	hosts    []*fakeHost
-	watcher  *watcher
+	watcher  *contractWatcher
 	revision int
 }
 
-func newContractWorld(n int) *contractWorld {
-	w := &contractWorld{fakes: newFakes(), watcher: &watcher{stop: make(chan struct{})}}
+func newContractCluster(n int) *contractCluster {
+	w := &contractCluster{fakeCluster: newFakeCluster(), watcher: &contractWatcher{stop: make(chan struct{})}}
 	w.snapshotEvery = 100
 	for i := range n {
 		w.start(fmt.Sprintf("h%d", i))
@@ -80,36 +80,36 @@
 	return w
 }
 
-func (w *contractWorld) start(name string) *fakeHost {
-	h := w.boot(name)
+func (w *contractCluster) start(name string) *fakeHost {
+	h := w.startHost(name)
 	w.hosts = append(w.hosts, h)
 	w.watcher.watch(h, w.document)
 	return h
 }
 
-func (w *contractWorld) finish() []string {
+func (w *contractCluster) finish() []string {
 	close(w.watcher.stop)
 	w.watcher.running.Wait()
-	w.end()
+	w.stopAll()
 	return w.watcher.problems
 }
 
-// behind names the live hosts that do not show the latest version.
-func (w *contractWorld) behind() (found []string) {
+// outdatedHosts lists the live hosts that do not have the latest version in force.
+func (w *contractCluster) outdatedHosts() (found []string) {
 	for _, h := range w.hosts {
 		e, _ := h.state.Contracts.Get("c")
-		if !h.dead.Load() && e.Version != w.latest() {
-			found = append(found, fmt.Sprintf("%s is at version %d of %d", h.settings.Host, e.Version, w.latest()))
+		if !h.dead.Load() && e.Version != w.latestVersion() {
+			found = append(found, fmt.Sprintf("%s is at version %d of %d", h.settings.Host, e.Version, w.latestVersion()))
 		}
 	}
 	return found
 }
 
-func (w *contractWorld) act(kind string, arg int) {
+func (w *contractCluster) apply(kind string, arg int) {
 	h := w.hosts[arg%len(w.hosts)]
 	switch kind {
 	case "publish", "race":
-		base := w.latest()
+		base := w.latestVersion()
 		w.revision++
 		w.publish(base, revision(w.revision))
 		if kind == "race" {
@@ -117,27 +117,25 @@
 			w.publish(base, revision(w.revision))
 		}
 	case "repeat an old publication":
-		w.repeatPublication(arg)
+		w.replayPublication(arg)
 	case "kill host":
 		h.kill()
 		w.start(h.settings.Host)
 	case "cut from log":
-		w.setCut(h.settings.Host, true)
+		w.setPartitioned(h.settings.Host, true)
 	case "join to log":
-		w.setCut(h.settings.Host, false)
+		w.setPartitioned(h.settings.Host, false)
 	case "log down":
-		w.setDown(true)
+		w.setLogDown(true)
 	case "log up":
-		w.setDown(false)
+		w.setLogDown(false)
 	case "trim":
 		w.trimToSnapshot()
 	}
 }
 
-// A contract change that operators published goes back, or is not in force at
-// some host seconds later. Operators race, an old publication lands again, the
-// log is down, hosts are cut from it, fresh hosts start meanwhile, and the
-// record is trimmed.
+// Guards against a published contract that is reverted, or not in force at every host in time,
+// under concurrent publications, replays, log outages, partitions, host restarts and trimming.
 func TestContractsNeverRevert(t *testing.T) {
 	kinds := []string{
 		"publish", "publish", "race", "repeat an old publication", "kill host",
@@ -147,18 +145,18 @@
 		acts := rapid.SliceOfN(rapid.SampledFrom(kinds), 3, 15).Draw(rt, "acts")
 		args := rapid.SliceOfN(rapid.IntRange(0, 9), len(acts), len(acts)).Draw(rt, "args")
 		pauses := rapid.SliceOfN(rapid.IntRange(0, 6000), len(acts), len(acts)).Draw(rt, "pauses")
-		found := inBubble(t, func() []string {
-			w := newContractWorld(3)
+		found := inVirtualTime(t, func() []string {
+			w := newContractCluster(3)
 			for i, kind := range acts {
-				w.act(kind, args[i])
+				w.apply(kind, args[i])
 				time.Sleep(time.Duration(pauses[i]) * time.Millisecond)
 			}
 			for _, h := range w.hosts {
-				w.setCut(h.settings.Host, false)
+				w.setPartitioned(h.settings.Host, false)
 			}
-			w.setDown(false)
-			time.Sleep(inForceWithin + settleTime)
-			behind := w.behind()
+			w.setLogDown(false)
+			time.Sleep(propagationLimit + settleTime)
+			behind := w.outdatedHosts()
 			return append(w.finish(), behind...)
 		})
 		if len(found) > 0 {
@@ -167,54 +165,54 @@
 	})
 }
 
-// A host that is cut from the log, but not from its peers, serves by an old
-// contract. The peers pass the log's tail on to it.
-func TestContractReachesHostCutFromLog(t *testing.T) {
-	found := inBubble(t, func() []string {
-		w := newContractWorld(3)
-		w.act("cut from log", 1)
+// Guards against a host that keeps an outdated contract while it is partitioned from the log. It
+// receives the tail of the log from its peers.
+func TestContractReachesHostPartitionedFromLog(t *testing.T) {
+	found := inVirtualTime(t, func() []string {
+		w := newContractCluster(3)
+		w.apply("cut from log", 1)
 		time.Sleep(settleTime)
-		w.act("publish", 0)
-		time.Sleep(inForceWithin)
-		behind := w.behind()
+		w.apply("publish", 0)
+		time.Sleep(propagationLimit)
+		behind := w.outdatedHosts()
 		return append(w.finish(), behind...)
 	})
 	is.New(t).Equal(found, nil)
 }
 
-// A fresh host starts while the log is down and would serve by no contract, or
-// an old one. It is not ready before a peer has given it the newest state.
-func TestFreshHostDuringOutage(t *testing.T) {
+// Guards against a host that starts during a log outage and becomes ready with outdated contracts.
+// It must first receive the current state from a peer.
+func TestNewHostDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
-		w := newContractWorld(2)
-		w.act("publish", 0)
+		w := newContractCluster(2)
+		w.apply("publish", 0)
 		time.Sleep(time.Second)
-		w.act("log down", 0)
+		w.apply("log down", 0)
 		h := w.start("fresh")
 		is.True(!h.Ready())
-		time.Sleep(inForceWithin)
+		time.Sleep(propagationLimit)
 		is.True(h.Ready())
-		is.Equal(len(w.behind()), 0)
+		is.Equal(len(w.outdatedHosts()), 0)
 		is.Equal(len(w.finish()), 0)
 	})
 }
 
-// The log has trimmed the records of the contracts. A fresh host restores them
-// from the snapshot in the log and then follows the rest.
+// Guards against the loss of contracts whose records were trimmed from the log. A new host
+// restores them from the snapshot in the log.
 func TestRestoreAfterTrim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
-		w := newContractWorld(2)
+		w := newContractCluster(2)
 		time.Sleep(2 * time.Minute)
 		is.True(w.trimToSnapshot())
 		for _, h := range w.hosts {
 			h.kill()
 		}
 		h := w.start("fresh")
-		time.Sleep(inForceWithin)
+		time.Sleep(propagationLimit)
 		is.True(h.Ready())
-		is.Equal(len(w.behind()), 0)
+		is.Equal(len(w.outdatedHosts()), 0)
 		is.Equal(len(w.finish()), 0)
 	})
 }
--- a/pkg/entryhost/deferred.go
+++ b/pkg/entryhost/deferred.go
@@ -15,23 +15,22 @@
 )
 
 const (
-	// deferredWait is the deadline of one try; a deferred request waits longer
-	// than any caller would, and is tried again.
-	deferredWait  = 10 * time.Minute
-	deferredRetry = 5 * time.Second
-	// maxDeferred bounds the deferred requests that one host runs at once.
-	maxDeferred = 16
+	// deferredTimeout is the deadline of one attempt at a deferred request.
+	deferredTimeout       = 10 * time.Minute
+	deferredRetryInterval = 5 * time.Second
+	// maxConcurrentDeferred bounds the deferred requests that one host runs concurrently.
+	maxConcurrentDeferred = 16
 )
 
-// deferredRunner runs the deferred requests that fall to this host.
+// deferredRunner runs the deferred requests that are assigned to this host.
 type deferredRunner struct {
-	host *Host
-	mu   sync.Mutex
-	busy map[string]bool
+	host    *Host
+	mu      sync.Mutex
+	running map[string]bool
 }
 
 func newDeferredRunner(h *Host) *deferredRunner {
-	return &deferredRunner{host: h, busy: map[string]bool{}}
+	return &deferredRunner{host: h, running: map[string]bool{}}
 }
 
 func (d *deferredRunner) run(ctx context.Context) {
@@ -42,45 +41,45 @@
 			return
 		}
 		for _, r := range d.host.state.Deferred.Open() {
-			if d.mine(r.ID) && d.begin(r.ID) {
-				running.Go(func() { d.runOne(ctx, r) })
+			if d.assignedToSelf(r.ID) && d.start(r.ID) {
+				running.Go(func() { d.runRequest(ctx, r) })
 			}
 		}
 	})
 }
 
-// mine spreads the requests over the live hosts; when a host is lost, its
-// requests fall to others.
-func (d *deferredRunner) mine(id string) bool {
+// assignedToSelf reports whether this host runs a deferred request. Requests are distributed over
+// the live hosts; those of a lost host are reassigned.
+func (d *deferredRunner) assignedToSelf(id string) bool {
 	d.host.watchMu.Lock()
 	defer d.host.watchMu.Unlock()
 	best, ok := lease.Preferred(id, d.host.watch.Candidates(d.host.now()))
 	return ok && best == d.host.self
 }
 
-func (d *deferredRunner) begin(id string) bool {
+func (d *deferredRunner) start(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.busy[id] || len(d.busy) >= maxDeferred {
+	if d.running[id] || len(d.running) >= maxConcurrentDeferred {
 		return false
 	}
-	d.busy[id] = true
+	d.running[id] = true
 	return true
 }
 
-func (d *deferredRunner) end(id string) {
+func (d *deferredRunner) finish(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.busy, id)
+	delete(d.running, id)
 }
 
-func (d *deferredRunner) runOne(ctx context.Context, r state.DeferredRequest) {
-	defer d.end(r.ID)
+func (d *deferredRunner) runRequest(ctx context.Context, r state.DeferredRequest) {
+	defer d.finish(r.ID)
 	answer, status, retry := d.answer(ctx, r)
 	if retry {
 		select {
 		case <-ctx.Done():
-		case <-time.After(deferredRetry):
+		case <-time.After(deferredRetryInterval):
 		}
 		return
 	}
@@ -88,10 +87,10 @@
 	if err != nil || len(body) > completion.MaxDeferredBytes {
 		body, status = []byte(`{"error":"the answer is too large to keep"}`), http.StatusInsufficientStorage
 	}
-	_ = d.host.appendSoon(ctx, record.Record{Finish: &record.DeferFinish{ID: r.ID, Status: status, Body: body}})
+	_ = d.host.appendWithTimeout(ctx, record.Record{Finish: &record.DeferFinish{ID: r.ID, Status: status, Body: body}})
 }
 
-// answer runs the request. A refusal that invites a repeat is tried again.
+// answer runs the request and reports whether it should be retried.
 func (d *deferredRunner) answer(ctx context.Context, r state.DeferredRequest) (answer completion.DeferredAnswer, status int, retry bool) {
 	entry, ok := d.host.state.Contracts.Get(r.Customer)
 	if !ok {
@@ -110,7 +109,7 @@
 		Model:       m,
 		Rank:        entry.Contract.Class(m).RefuseRank,
 		RequestID:   completion.NewRequestID(),
-		Deadline:    d.host.now().Add(deferredWait),
+		Deadline:    d.host.now().Add(deferredTimeout),
 		Prompt:      body.Prompt,
 		MaxTokens:   body.MaxTokens,
 		Temperature: body.Temperature,
@@ -127,7 +126,7 @@
 		return answer, http.StatusOK, false
 	}
 	if refusal.Reason == string(serve.CauseCrashes) {
-		// It would end further engines each time that the block is over, for a day.
+		// Do not retry: the request would crash another endpoint each time its block expires.
 		return completion.DeferredAnswer{Error: refusal.Message}, http.StatusBadGateway, false
 	}
 	if refusal.RetryAfter > 0 || !m.NonIdempotent {
--- a/pkg/entryhost/drain.go
+++ b/pkg/entryhost/drain.go
@@ -5,45 +5,43 @@
 	"time"
 
 	"github.com/tealvane/tealvane/internal/wait"
-	"github.com/tealvane/tealvane/pkg/external"
-	"github.com/tealvane/tealvane/pkg/peer"
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// shutdowner stops taking requests and waits for those it has; *http.Server is one.
+// shutdowner is implemented by *http.Server.
 type shutdowner interface {
 	Shutdown(ctx context.Context) error
 }
 
-// drain is a graceful shutdown. The host keeps taking requests for as long as
-// the balancer may still send them, hands its pools over, lets all requests
-// end, and at last ends its session: its orders are over, so nobody has to
-// wait for them.
+// drain shuts the host down gracefully. The host accepts requests until the load balancer has seen
+// that it is not ready, hands its pools over and waits for requests in progress. If no order is in
+// flight, it then ends its session, so that other hosts do not have to wait for the session to
+// expire.
 func (h *Host) drain(ctx context.Context, callers shutdowner) {
 	h.logger.Info("stopping")
 	h.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, h.settings.Timing.DrainTimeout)
 	defer cancel()
-	// Tell the other hosts at once, so that none hands a pool to this one.
-	_ = h.appendSoon(ctx, record.Record{Renew: &record.HostRenew{HostRef: h.self, Leaving: true}})
-	h.pokeOwners()
+	// Announce the shutdown first, so that no other host hands a pool over to this one.
+	_ = h.appendWithTimeout(ctx, record.Record{Renew: &record.HostRenew{HostRef: h.self, Leaving: true}})
+	h.notifyPools()
 	wait.For(ctx, h.settings.Timing.ReadinessLag)
 	if err := callers.Shutdown(ctx); err != nil {
-		h.logger.Warn("requests were cut", "error", err)
+		h.logger.Warn("graceful shutdown did not complete; aborting requests in progress", "error", err)
 	}
 	h.waitBackground(ctx)
 	h.waitFor(ctx, func() bool { return h.ledger.Pending() == 0 })
-	// Wait for the hand-over, but not for another host that may never come.
+	// Bound the wait for the handover, because there may be no other host to take the pools.
 	handover, cancelHandover := context.WithTimeout(ctx, h.settings.Timing.SessionTTL)
 	defer cancelHandover()
 	h.waitFor(handover, func() bool { return !h.ownsPools() })
-	if !h.ownersBusy() {
-		_ = h.appendSoon(ctx, record.Record{Gone: &record.HostGone{HostRef: h.self}})
+	if !h.ordersInFlight() {
+		_ = h.appendWithTimeout(ctx, record.Record{Gone: &record.HostGone{HostRef: h.self}})
 	}
 	h.logger.Info("stopped")
 }
 
-// waitBackground waits for requests that go on after their caller has gone.
+// waitBackground waits for requests that continue after their caller has disconnected.
 func (h *Host) waitBackground(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -56,7 +54,7 @@
 	}
 }
 
-// waitFor returns when done is true or ctx ends.
+// waitFor polls done until it returns true or ctx ends.
 func (h *Host) waitFor(ctx context.Context, done func() bool) {
 	ticker := time.NewTicker(h.settings.Timing.Tick)
 	defer ticker.Stop()
@@ -78,62 +76,25 @@
 	return false
 }
 
-func (h *Host) pokeOwners() {
-	h.ownersMu.Lock()
-	defer h.ownersMu.Unlock()
-	for _, o := range h.owners {
-		o.poke()
+func (h *Host) notifyPools() {
+	h.poolRunnersMu.Lock()
+	defer h.poolRunnersMu.Unlock()
+	for _, pr := range h.poolRunners {
+		pr.notify()
 	}
 }
 
-// ownersBusy tells whether an order is under way.
-func (h *Host) ownersBusy() bool {
-	h.ownersMu.Lock()
-	defer h.ownersMu.Unlock()
-	for _, o := range h.owners {
-		o.mu.Lock()
-		busy := o.ctrl.Busy()
-		o.mu.Unlock()
+// ordersInFlight reports whether an order to an endpoint is in progress in any pool.
+func (h *Host) ordersInFlight() bool {
+	h.poolRunnersMu.Lock()
+	defer h.poolRunnersMu.Unlock()
+	for _, pr := range h.poolRunners {
+		pr.mu.Lock()
+		busy := pr.ctrl.Busy()
+		pr.mu.Unlock()
 		if busy {
 			return true
 		}
 	}
 	return false
 }
-
-// peerHandler answers other entry hosts.
-type peerHandler struct{ host *Host }
-
-// HandleUsage implements peer.Handler.
-func (p peerHandler) HandleUsage(r peer.UsageReport) { p.host.takeUsage(r) }
-
-// HandleLeave implements peer.Handler.
-func (p peerHandler) HandleLeave(l peer.LeaveNotice) {
-	p.host.membersMu.Lock()
-	defer p.host.membersMu.Unlock()
-	for _, leave := range l.Endpoints {
-		p.host.members.MarkLeaving(leave)
-	}
-}
-
-// HandleTail implements peer.Handler.
-func (p peerHandler) HandleTail(r peer.TailRequest) ([]external.Entry, error) {
-	return p.host.journal.Recent(r.From, r.Limit)
-}
-
-// HandleSnapshot implements peer.Handler. A host that has not caught up has
-// nothing to offer.
-func (p peerHandler) HandleSnapshot() ([]record.Snapshot, error) {
-	if !p.host.journal.CaughtUp() {
-		return nil, external.ErrUnavailable
-	}
-	records, err := p.host.journal.Snapshot()
-	if err != nil {
-		return nil, err
-	}
-	chunks := make([]record.Snapshot, len(records))
-	for i, r := range records {
-		chunks[i] = *r.Snapshot
-	}
-	return chunks, nil
-}
--- a/pkg/entryhost/fake_test.go
+++ b/pkg/entryhost/fake_cluster_test.go
@@ -19,53 +19,53 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// hop is the time of one message in the fakes.
-const hop = time.Millisecond
+// messageDelay is the latency of one message between fakes.
+const messageDelay = time.Millisecond
 
-// fakes are the outside systems of some hosts that run in virtual time.
-type fakes struct {
-	mu      sync.Mutex
-	records []external.Entry
-	first   record.Offset
-	down    bool
-	lose    int
-	late    int
-	engines map[string]*fakeEngine
-	list    []external.ListedHost
-	hosts   map[string]*fakeHost
-	cut     map[string]bool
-	// frozen are the old lists that some hosts still see.
-	frozen  map[string][]external.ListedHost
-	running sync.WaitGroup
-	booted  int
-	// all keeps the trimmed records too.
-	all           []external.Entry
+// fakeCluster fakes the log, the host list and the endpoints for hosts in virtual time.
+type fakeCluster struct {
+	mu                sync.Mutex
+	records           []external.Entry
+	firstOffset       record.Offset
+	logDown           bool
+	loseAppendAnswers int
+	lateAppends       int
+	engines           map[string]*fakeEngine
+	hostList          []external.ListedHost
+	hosts             map[string]*fakeHost
+	partitioned       map[string]bool
+	// staleLists holds outdated host lists by host.
+	staleLists map[string][]external.ListedHost
+	running    sync.WaitGroup
+	started    int
+	// allRecords includes trimmed records.
+	allRecords    []external.Entry
 	snapshotEvery int
 	tracer        trace.TracerProvider
-	// documents are the contracts that count, by version: a publication counts
-	// when it is based on the version before it.
+	// documents holds the accepted contract documents by version. A publication is accepted if it
+	// is based on the latest version.
 	documents []string
 }
 
 // fakeHost is a host with adapters that fail once it is dead.
 type fakeHost struct {
 	*Host
-	fakes *fakes
-	dead  atomic.Bool
-	stop  context.CancelFunc
-	// active are the requests that the host is serving.
+	cluster *fakeCluster
+	dead    atomic.Bool
+	stop    context.CancelFunc
+	// active counts the requests in progress.
 	active sync.WaitGroup
 }
 
-func newFakes() *fakes {
-	return &fakes{first: 1, engines: map[string]*fakeEngine{}, hosts: map[string]*fakeHost{}, cut: map[string]bool{}, frozen: map[string][]external.ListedHost{}, tracer: noop.NewTracerProvider()}
+func newFakeCluster() *fakeCluster {
+	return &fakeCluster{firstOffset: 1, engines: map[string]*fakeEngine{}, hosts: map[string]*fakeHost{}, partitioned: map[string]bool{}, staleLists: map[string][]external.ListedHost{}, tracer: noop.NewTracerProvider()}
 }
 
-func (f *fakes) addEngine(name, poolName string, fencing bool) *fakeEngine {
-	e := &fakeEngine{fakes: f, name: name, fencing: fencing, memoryMB: 100, loadTime: time.Second}
+func (f *fakeCluster) addEngine(name, poolName string, fencing bool) *fakeEngine {
+	e := &fakeEngine{cluster: f, name: name, fencing: fencing, memoryMB: 100, loadTime: time.Second}
 	e.restart()
 	f.engines[name] = e
-	f.list = append(f.list, external.ListedHost{
+	f.hostList = append(f.hostList, external.ListedHost{
 		Name:          name,
 		Kind:          external.EndpointHost,
 		Incarnation:   e.incarnation,
@@ -76,14 +76,14 @@
 	return e
 }
 
-func (f *fakes) addService(name, service string) *fakeEngine {
+func (f *fakeCluster) addService(name, service string) *fakeEngine {
 	e := f.addEngine(name, "", false)
-	f.list[len(f.list)-1].Service = service
+	f.hostList[len(f.hostList)-1].Service = service
 	return e
 }
 
-// boot starts a host; its log, peers and engines are the fakes.
-func (f *fakes) boot(name string) *fakeHost {
+// startHost starts a host that is connected to the fakes.
+func (f *fakeCluster) startHost(name string) *fakeHost {
 	s := settings.Default()
 	s.Host = name
 	s.Zone = "z"
@@ -91,7 +91,7 @@
 	if f.snapshotEvery > 0 {
 		s.Timing.SnapshotEvery = f.snapshotEvery
 	}
-	h := &fakeHost{fakes: f}
+	h := &fakeHost{cluster: f}
 	h.Host = newHost(Config{
 		Settings: s,
 		Engine:   fakeEngines{h},
@@ -100,8 +100,8 @@
 		Tracer:   f.tracer,
 	})
 	f.mu.Lock()
-	f.booted++
-	addr := fmt.Sprintf("%s#%d", name, f.booted)
+	f.started++
+	addr := fmt.Sprintf("%s#%d", name, f.started)
 	f.hosts[addr] = h
 	f.mu.Unlock()
 	h.connect(h, h, addr)
@@ -113,16 +113,16 @@
 	return h
 }
 
-// kill ends a host without a word.
+// kill stops the host without a graceful shutdown.
 func (h *fakeHost) kill() {
 	h.dead.Store(true)
 	h.stop()
 }
 
-// end stops all hosts, so that the bubble can end.
-func (f *fakes) end() {
+// stopAll kills all hosts, so that the synctest bubble can end.
+func (f *fakeCluster) stopAll() {
 	f.mu.Lock()
-	f.down = false
+	f.logDown = false
 	hosts := f.hosts
 	f.mu.Unlock()
 	for _, h := range hosts {
@@ -133,44 +133,44 @@
 		h.runner.Wait()
 		_ = h.metrics.closer.Close()
 	}
-	// Messages that nobody waits for are still on their way. Time stands still
-	// in a bubble whose main function has returned, and they would never end.
+	// Let messages in flight finish. Virtual time does not advance after the main function of the
+	// bubble has returned.
 	time.Sleep(settleTime)
 }
 
 // Append implements external.Log.
 func (h *fakeHost) Append(ctx context.Context, data []byte) (record.Offset, error) {
-	time.Sleep(hop)
-	f := h.fakes
+	time.Sleep(messageDelay)
+	f := h.cluster
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if h.dead.Load() || f.down || f.cut[h.settings.Host] {
-		return 0, errors.Wrap(external.ErrRejected, "down")
+	if h.dead.Load() || f.logDown || f.partitioned[h.settings.Host] {
+		return 0, errors.Wrap(external.ErrRejected, "fake log is unavailable")
 	}
-	if f.late > 0 {
-		// The call times out, and its record lands a moment later.
-		f.late--
-		time.AfterFunc(2*time.Second, func() { f.land(data) })
+	if f.lateAppends > 0 {
+		// The call fails, but the record is appended later.
+		f.lateAppends--
+		time.AfterFunc(2*time.Second, func() { f.appendRecord(data) })
 		return 0, external.ErrUnavailable
 	}
-	off := f.landLocked(data)
-	if f.lose > 0 {
-		f.lose--
+	off := f.appendLocked(data)
+	if f.loseAppendAnswers > 0 {
+		f.loseAppendAnswers--
 		return 0, external.ErrUnavailable
 	}
 	return off, nil
 }
 
-func (f *fakes) land(data []byte) {
+func (f *fakeCluster) appendRecord(data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.landLocked(data)
+	f.appendLocked(data)
 }
 
-func (f *fakes) landLocked(data []byte) record.Offset {
-	off := f.first + record.Offset(len(f.records))
+func (f *fakeCluster) appendLocked(data []byte) record.Offset {
+	off := f.firstOffset + record.Offset(len(f.records))
 	f.records = append(f.records, external.Entry{Offset: off, Data: data})
-	f.all = append(f.all, external.Entry{Offset: off, Data: data})
+	f.allRecords = append(f.allRecords, external.Entry{Offset: off, Data: data})
 	if r, err := record.Decode(data); err == nil && r.Contract != nil && r.Contract.Customer == "c" && int(r.Contract.Base) == len(f.documents) {
 		f.documents = append(f.documents, string(r.Contract.Document))
 	}
@@ -181,7 +181,7 @@
 func (h *fakeHost) Read(ctx context.Context, from record.Offset, limit int, wait time.Duration) ([]external.Entry, error) {
 	end := time.Now().Add(wait)
 	for {
-		time.Sleep(hop)
+		time.Sleep(messageDelay)
 		entries, err := h.readNow(from, limit)
 		if err != nil || len(entries) > 0 || !time.Now().Before(end) {
 			return entries, err
@@ -189,26 +189,26 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(2 * hop):
+		case <-time.After(2 * messageDelay):
 		}
 	}
 }
 
 func (h *fakeHost) readNow(from record.Offset, limit int) ([]external.Entry, error) {
-	f := h.fakes
+	f := h.cluster
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if h.dead.Load() || f.down || f.cut[h.settings.Host] {
+	if h.dead.Load() || f.logDown || f.partitioned[h.settings.Host] {
 		return nil, external.ErrUnavailable
 	}
-	if from < f.first {
-		return nil, &external.TrimmedError{First: f.first}
+	if from < f.firstOffset {
+		return nil, &external.TrimmedError{First: f.firstOffset}
 	}
-	tail := f.records[min(int(from-f.first), len(f.records)):]
+	tail := f.records[min(int(from-f.firstOffset), len(f.records)):]
 	return slices.Clone(tail[:min(limit, len(tail))]), nil
 }
 
-func (f *fakes) document(version uint64) string {
+func (f *fakeCluster) document(version uint64) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if version < 1 || int(version) > len(f.documents) {
@@ -217,22 +217,22 @@
 	return f.documents[version-1]
 }
 
-func (f *fakes) latest() uint64 {
+func (f *fakeCluster) latestVersion() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return uint64(len(f.documents))
 }
 
-// history returns all records, the trimmed ones too.
-func (f *fakes) history() []external.Entry {
+// history returns all records, including trimmed ones.
+func (f *fakeCluster) history() []external.Entry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.all)
+	return slices.Clone(f.allRecords)
 }
 
-// trimToSnapshot drops the records that the newest snapshot replaces. It
-// reports false when there is none.
-func (f *fakes) trimToSnapshot() bool {
+// trimToSnapshot drops the records covered by the newest snapshot. It returns false if there is
+// nothing to trim.
+func (f *fakeCluster) trimToSnapshot() bool {
 	snapshots := state.New().Snapshots
 	for _, e := range f.history() {
 		if r, err := record.Decode(e.Data); err == nil && r.Snapshot != nil {
@@ -242,46 +242,46 @@
 	keep := snapshots.NewestAsOf() + 1
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if keep <= f.first {
+	if keep <= f.firstOffset {
 		return false
 	}
-	f.records = f.records[keep-f.first:]
-	f.first = keep
+	f.records = f.records[keep-f.firstOffset:]
+	f.firstOffset = keep
 	return true
 }
 
-// repeatPublication lands a delayed copy of an earlier publication.
-func (f *fakes) repeatPublication(n int) {
+// replayPublication appends a copy of an earlier contract record.
+func (f *fakeCluster) replayPublication(n int) {
 	var copies [][]byte
 	for _, e := range f.history() {
 		if r, err := record.Decode(e.Data); err == nil && r.Contract != nil {
 			copies = append(copies, e.Data)
 		}
 	}
-	f.land(copies[n%len(copies)])
+	f.appendRecord(copies[n%len(copies)])
 }
 
-func (f *fakes) setCut(host string, cut bool) {
+func (f *fakeCluster) setPartitioned(host string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[host] = cut
+	f.partitioned[host] = cut
 }
 
-func (f *fakes) setDown(down bool) {
+func (f *fakeCluster) setLogDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.down = down
+	f.logDown = down
 }
 
 // List implements external.HostList.
 func (h *fakeHost) List(context.Context) ([]external.ListedHost, error) {
-	h.fakes.mu.Lock()
-	defer h.fakes.mu.Unlock()
-	list := slices.Clone(h.fakes.list)
-	if old, frozen := h.fakes.frozen[h.settings.Host]; frozen {
+	h.cluster.mu.Lock()
+	defer h.cluster.mu.Unlock()
+	list := slices.Clone(h.cluster.hostList)
+	if old, frozen := h.cluster.staleLists[h.settings.Host]; frozen {
 		list = slices.Clone(old)
 	}
-	for addr, other := range h.fakes.hosts {
+	for addr, other := range h.cluster.hosts {
 		if !other.dead.Load() {
 			list = append(list, external.ListedHost{Name: other.settings.Host, Kind: external.EntryHost, Addr: addr})
 		}
@@ -291,10 +291,10 @@
 
 // Send implements peer.Sender.
 func (h *fakeHost) Send(_ context.Context, addr string, r peer.Request) ([]peer.Response, error) {
-	time.Sleep(hop)
-	h.fakes.mu.Lock()
-	to := h.fakes.hosts[addr]
-	h.fakes.mu.Unlock()
+	time.Sleep(messageDelay)
+	h.cluster.mu.Lock()
+	to := h.cluster.hosts[addr]
+	h.cluster.mu.Unlock()
 	if to == nil || to.dead.Load() || h.dead.Load() {
 		return nil, external.ErrUnavailable
 	}
@@ -305,10 +305,10 @@
 	return answer, nil
 }
 
-// publish lands a contract directly in the log, as operators may.
-func (f *fakes) publish(base uint64, document string) { f.publishFor("c", base, document) }
+// publish appends a contract directly to the log.
+func (f *fakeCluster) publish(base uint64, document string) { f.publishFor("c", base, document) }
 
-func (f *fakes) publishFor(customer string, base uint64, document string) {
+func (f *fakeCluster) publishFor(customer string, base uint64, document string) {
 	data, err := record.Encode(record.Record{
 		ID:       record.NewID(),
 		Contract: &record.Contract{Customer: customer, Base: base, Document: []byte(document)},
@@ -316,5 +316,5 @@
 	if err != nil {
 		panic(err)
 	}
-	f.land(data)
+	f.appendRecord(data)
 }
--- a/pkg/entryhost/fake_engine_test.go
+++ b/pkg/entryhost/fake_engine_test.go
@@ -12,10 +12,9 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// fakeEngine is a model engine or plain service. What it notes is what the
-// tests check against.
+// fakeEngine is a model engine or plain service. It records what it ran.
 type fakeEngine struct {
-	fakes       *fakes
+	cluster     *fakeCluster
 	name        string
 	fencing     bool
 	memoryMB    int64
@@ -25,18 +24,19 @@
 	replicas    map[record.ReplicaID]*fakeReplica
 	ran         []string
 	dead        bool
-	// cutAfter breaks each stream after that many tokens, cross mislabels them,
-	// loseAnswers runs calls and loses the answers.
-	cutAfter    int
-	cross       bool
-	loseAnswers int
-	// crashOn is the body or prompt of a call that ends the engine.
+	// cutAfter interrupts each stream after that many tokens, crossAnswers fails each stream, and
+	// loseAnswers drops the answers to that many requests.
+	cutAfter     int
+	crossAnswers bool
+	loseAnswers  int
+	// crashOn is the body or prompt that crashes the engine.
 	crashOn string
 	crashes int
-	// busyFor is the pause with which the engine rejects all calls, 0 for none; asked counts calls.
-	busyFor time.Duration
-	asked   int
-	started []time.Time
+	// rejectPause is the pause requested when rejecting calls. Zero means that calls are accepted.
+	// rejected counts the rejected calls.
+	rejectPause time.Duration
+	rejected    int
+	started     []time.Time
 }
 
 type fakeReplica struct {
@@ -50,32 +50,32 @@
 	e.replicas = map[record.ReplicaID]*fakeReplica{}
 }
 
-// crashIf ends the engine if that is what a call does; it is back after some seconds. The
-// fakes are locked.
-func (e *fakeEngine) crashIf(body string) {
+// maybeCrash crashes the engine if body is crashOn. The engine restarts after restartDelay. The
+// cluster must be locked.
+func (e *fakeEngine) maybeCrash(body string) {
 	if e.crashOn == "" || body != e.crashOn {
 		return
 	}
 	e.dead = true
 	e.crashes++
-	time.AfterFunc(crashTime, func() {
-		e.fakes.mu.Lock()
-		defer e.fakes.mu.Unlock()
+	time.AfterFunc(restartDelay, func() {
+		e.cluster.mu.Lock()
+		defer e.cluster.mu.Unlock()
 		e.dead = false
 		e.restart()
-		for i, listed := range e.fakes.list {
+		for i, listed := range e.cluster.hostList {
 			if listed.Name == e.name {
-				e.fakes.list[i].Incarnation = e.incarnation
+				e.cluster.hostList[i].Incarnation = e.incarnation
 			}
 		}
 	})
 }
 
-// crashTime is how long a crashed engine is away.
-const crashTime = 3 * time.Second
+// restartDelay is the time between a crash and the restart.
+const restartDelay = 3 * time.Second
 
-// allCrashes counts the crashes of all engines.
-func (f *fakes) allCrashes() int {
+// crashCount returns the number of crashes of all engines.
+func (f *fakeCluster) crashCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -85,16 +85,16 @@
 	return n
 }
 
-// fakeEngines is the engine adapter of one host.
+// fakeEngines is the engine adapter of one host. It implements external.Engine.
 type fakeEngines struct{ host *fakeHost }
 
-// reach returns an engine with the fakes locked, or an error without the lock.
-func (a fakeEngines) reach(addr string) (*fakeEngine, error) {
-	time.Sleep(hop)
-	a.host.fakes.mu.Lock()
-	e := a.host.fakes.engines[addr]
+// lockEngine returns an engine with the cluster locked. On error the cluster is not locked.
+func (a fakeEngines) lockEngine(addr string) (*fakeEngine, error) {
+	time.Sleep(messageDelay)
+	a.host.cluster.mu.Lock()
+	e := a.host.cluster.engines[addr]
 	if e == nil || e.dead || a.host.dead.Load() {
-		a.host.fakes.mu.Unlock()
+		a.host.cluster.mu.Unlock()
 		return nil, external.ErrRefused
 	}
 	return e, nil
@@ -102,11 +102,11 @@
 
 // Status implements external.Engine.
 func (a fakeEngines) Status(_ context.Context, addr string) (external.EngineStatus, error) {
-	e, err := a.reach(addr)
+	e, err := a.lockEngine(addr)
 	if err != nil {
 		return external.EngineStatus{}, err
 	}
-	defer a.host.fakes.mu.Unlock()
+	defer a.host.cluster.mu.Unlock()
 	s := external.EngineStatus{Incarnation: e.incarnation, MemoryMB: e.memoryMB}
 	for _, r := range e.replicas {
 		s.Replicas = append(s.Replicas, r.EngineReplica)
@@ -116,18 +116,18 @@
 
 // Order implements external.Engine.
 func (a fakeEngines) Order(ctx context.Context, o pool.Order) (pool.OrderResult, error) {
-	e, err := a.reach(o.Addr)
+	e, err := a.lockEngine(o.Addr)
 	if err != nil {
 		return pool.OrderRefused, err
 	}
 	refused := e.incarnation != o.Incarnation || e.fencing && o.Fence < e.token
 	if refused {
-		a.host.fakes.mu.Unlock()
+		a.host.cluster.mu.Unlock()
 		return pool.OrderRefused, external.ErrRejected
 	}
 	e.token = max(e.token, o.Fence)
 	if o.Kind == pool.OrderUnload {
-		defer a.host.fakes.mu.Unlock()
+		defer a.host.cluster.mu.Unlock()
 		if r := e.replicas[o.Replica]; r != nil && r.Running > 0 {
 			return pool.OrderRefused, external.ErrRejected
 		}
@@ -142,10 +142,10 @@
 		}
 		e.replicas[o.Replica] = r
 	}
-	left := time.Until(r.readyAt)
-	a.host.fakes.mu.Unlock()
+	remaining := time.Until(r.readyAt)
+	a.host.cluster.mu.Unlock()
 	select {
-	case <-time.After(left):
+	case <-time.After(remaining):
 		return pool.OrderOK, nil
 	case <-ctx.Done():
 		return pool.OrderUnknown, ctx.Err()
@@ -153,58 +153,58 @@
 }
 
 const (
-	fakeService = 50 * time.Millisecond
-	fakeTokens  = 5
+	fakeServiceTime = 50 * time.Millisecond
+	fakeTokens      = 5
 )
 
 // Generate implements external.Engine.
 func (a fakeEngines) Generate(ctx context.Context, addr string, r external.GenerateRequest) (external.TokenStream, error) {
-	e, err := a.reach(addr)
+	e, err := a.lockEngine(addr)
 	if err != nil {
 		return nil, err
 	}
-	defer a.host.fakes.mu.Unlock()
+	defer a.host.cluster.mu.Unlock()
 	replica := e.replicas[r.Replica]
 	if replica == nil || time.Now().Before(replica.readyAt) {
 		return nil, external.ErrNotLoaded
 	}
 	e.ran = append(e.ran, r.RequestID)
-	e.crashIf(r.Prompt)
+	e.maybeCrash(r.Prompt)
 	e.started = append(e.started, time.Now())
 	if e.loseAnswers > 0 {
 		e.loseAnswers--
 		return nil, external.ErrUnavailable
 	}
 	replica.Running++
-	return &fakeStream{ctx: ctx, engine: e, replica: replica, request: r, next: r.ResumeFrom, cutAfter: e.cutAfter, cross: e.cross}, nil
+	return &fakeStream{ctx: ctx, engine: e, replica: replica, request: r, next: r.ResumeFrom, cutAfter: e.cutAfter, crossAnswers: e.crossAnswers}, nil
 }
 
 type fakeStream struct {
-	ctx      context.Context
-	engine   *fakeEngine
-	replica  *fakeReplica
-	request  external.GenerateRequest
-	next     int
-	sent     int
-	cutAfter int
-	cross    bool
-	closed   bool
+	ctx          context.Context
+	engine       *fakeEngine
+	replica      *fakeReplica
+	request      external.GenerateRequest
+	next         int
+	sent         int
+	cutAfter     int
+	crossAnswers bool
+	closed       bool
 }
 
-// fakeText is the answer to a prompt, which names the request.
+// fakeText returns the complete answer to a prompt.
 func fakeText(prompt string) string { return strings.Repeat(prompt+" ", fakeTokens) }
 
-// Next implements external.TokenStream. The adapter's own checks stand in
-// httpadapter; here a crossed answer already shows as broken.
+// Next implements external.TokenStream. Crossed answers are reported as broken, as httpadapter
+// does.
 func (s *fakeStream) Next() (external.Token, error) {
 	select {
-	case <-time.After(fakeService / fakeTokens):
+	case <-time.After(fakeServiceTime / fakeTokens):
 	case <-s.ctx.Done():
 		return external.Token{}, s.ctx.Err()
 	}
-	s.engine.fakes.mu.Lock()
-	defer s.engine.fakes.mu.Unlock()
-	if s.engine.dead || s.cross || s.cutAfter > 0 && s.sent >= s.cutAfter {
+	s.engine.cluster.mu.Lock()
+	defer s.engine.cluster.mu.Unlock()
+	if s.engine.dead || s.crossAnswers || s.cutAfter > 0 && s.sent >= s.cutAfter {
 		return external.Token{}, external.ErrBroken
 	}
 	t := external.Token{RequestID: s.request.RequestID, Index: s.next, Text: s.request.Prompt + " "}
@@ -218,8 +218,8 @@
 
 // Close implements external.TokenStream.
 func (s *fakeStream) Close() error {
-	s.engine.fakes.mu.Lock()
-	defer s.engine.fakes.mu.Unlock()
+	s.engine.cluster.mu.Lock()
+	defer s.engine.cluster.mu.Unlock()
 	if !s.closed {
 		s.closed = true
 		s.replica.Running--
@@ -229,24 +229,24 @@
 
 // Call implements external.Engine.
 func (a fakeEngines) Call(_ context.Context, addr string, c external.ServiceCall) (external.ServiceAnswer, error) {
-	e, err := a.reach(addr)
+	e, err := a.lockEngine(addr)
 	if err != nil {
 		return external.ServiceAnswer{}, err
 	}
-	if e.busyFor > 0 {
-		defer a.host.fakes.mu.Unlock()
-		e.asked++
-		return external.ServiceAnswer{}, &external.PauseError{Pause: e.busyFor, Cause: external.ErrRejected}
+	if e.rejectPause > 0 {
+		defer a.host.cluster.mu.Unlock()
+		e.rejected++
+		return external.ServiceAnswer{}, &external.PauseError{Pause: e.rejectPause, Cause: external.ErrRejected}
 	}
 	e.ran = append(e.ran, c.RequestID)
 	run := len(e.ran)
-	e.crashIf(string(c.Body))
+	e.maybeCrash(string(c.Body))
 	lose := e.loseAnswers > 0 || e.dead
 	if lose && !e.dead {
 		e.loseAnswers--
 	}
-	a.host.fakes.mu.Unlock()
-	time.Sleep(fakeService)
+	a.host.cluster.mu.Unlock()
+	time.Sleep(fakeServiceTime)
 	if lose || a.host.dead.Load() {
 		return external.ServiceAnswer{}, external.ErrUnavailable
 	}
@@ -263,8 +263,8 @@
 func (fakeEngines) ImportKV(context.Context, string, string, []byte) error       { return nil }
 func (fakeEngines) SetRole(context.Context, string, string, record.Offset) error { return nil }
 
-// allRan returns the IDs of all requests that the endpoints ran.
-func (f *fakes) allRan() []string {
+// ranRequests returns the IDs of all requests that endpoints ran.
+func (f *fakeCluster) ranRequests() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ran []string
--- a/pkg/entryhost/guard.go
+++ b/pkg/entryhost/guard.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// guardPeriod is how often a host looks for requests to blame, and at what the log tells of
-	// the ends of endpoints: a small part of the 0.4 s for which ends are gathered.
-	guardPeriod = 100 * time.Millisecond
-	// maxCrashesWaiting bounds the ends that wait for the log while it does not answer, some
-	// kilobytes each; further ones are told by the other hosts that saw them, or not at all.
-	maxCrashesWaiting = 64
+	// guardInterval is the interval at which crash records are read and blocking decisions are
+	// made. It must be short compared to the window over which the quarantine package collects
+	// crashes.
+	guardInterval = 100 * time.Millisecond
+	// maxUnreportedCrashes bounds the queue of crash reports while the log is unavailable. Further
+	// reports are dropped.
+	maxUnreportedCrashes = 64
 )
 
-// guard keeps calls that crash endpoints from them. Each host tells the ends that it has seen in
-// the log, and finds the calls to blame from the records of all hosts. It implements
+// guard blocks requests that crash endpoints. Each host appends the crashes that it observes to
+// the log and decides which requests to block from the records of all hosts. guard implements
 // serve.Guard.
 type guard struct {
 	*quarantine.Guard
 	host *Host
-	// found are crashes that the log has not been told.
-	found chan []fleet.Crash
-	// folded is the offset of the last record that was taken in.
-	folded record.Offset
+	// unreported holds crashes that are not yet in the log.
+	unreported chan []fleet.Crash
+	// applied is the offset of the last crash record that was processed.
+	applied record.Offset
 }
 
 func newGuard(h *Host) *guard {
-	g := &guard{host: h, found: make(chan []fleet.Crash, maxCrashesWaiting)}
+	g := &guard{host: h, unreported: make(chan []fleet.Crash, maxUnreportedCrashes)}
 	g.Guard = quarantine.NewGuard(quarantine.Config{
-		Ended:     h.endpointEnded,
-		Announced: h.announced,
-		Crashed:   g.tell,
+		Ended:     h.endpointTerminated,
+		Announced: h.leaving,
+		Crashed:   g.enqueue,
 		Moved:     func() {},
 		Now:       h.now,
 		Log:       h.logger,
@@ -46,58 +47,60 @@
 	return g
 }
 
-// Broke implements serve.Guard. A plain service keeps its name when it starts again; each of
-// its incarnations can end.
+// Broke implements serve.Guard. The ID of a plain service does not change across restarts, so the
+// incarnation is added to distinguish them.
 func (g *guard) Broke(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool) {
-	e.ID = g.host.incarnationOf(e.ID)
+	e.ID = g.host.withIncarnation(e.ID)
 	g.Guard.Broke(e, f, id, suspected)
 }
 
 // Refused implements serve.Guard.
 func (g *guard) Refused(e fleet.Endpoint) {
-	e.ID = g.host.incarnationOf(e.ID)
+	e.ID = g.host.withIncarnation(e.ID)
 	g.Guard.Refused(e)
 }
 
 // Served implements serve.Guard.
 func (g *guard) Served(e fleet.Endpoint, f fleet.Fingerprint, began time.Time) {
-	e.ID = g.host.incarnationOf(e.ID)
+	e.ID = g.host.withIncarnation(e.ID)
 	g.Guard.Served(e, f, began)
 }
 
-func (g *guard) tell(crashes []fleet.Crash) {
+func (g *guard) enqueue(crashes []fleet.Crash) {
 	select {
-	case g.found <- crashes:
+	case g.unreported <- crashes:
 	default:
-		g.host.logger.Warn("ends of endpoints are not told in the log: it does not answer", "endpoint", crashes[0].Endpoint)
+		g.host.logger.Warn("crash report dropped: too many reports are waiting for the log", "endpoint", crashes[0].Endpoint)
 	}
 }
 
-// runDecisions takes in what the log tells and blocks the calls to blame.
+// runDecisions processes new crash records and decides which requests to block.
 func (g *guard) runDecisions(ctx context.Context) {
-	every(ctx, guardPeriod, func(context.Context) {
+	every(ctx, guardInterval, func(context.Context) {
 		now := g.host.now()
-		for _, c := range g.host.state.Crashes.After(g.folded) {
-			g.folded = c.Offset
-			g.Ledger.Add(now, crashesOf(now, c.Crashed))
+		for _, c := range g.host.state.Crashes.After(g.applied) {
+			g.applied = c.Offset
+			g.Ledger.Add(now, crashesFromRecord(now, c.Crashed))
 		}
 		g.Decide(now)
-		// Hosts tell one another of ends and not of trials: each tries one copy at a time.
+		// Hosts share crashes but not trial runs. Each host tries one copy of a suspected request
+		// at a time.
 		g.GrantOwn(now, 0)
 		g.Tend(now)
 		g.Prune(now)
 	})
 }
 
-// runTold appends the ends that this host has seen. One whose append fails may be lost: the
-// host itself counts it, and another end will come if there is a call to blame.
-func (g *guard) runTold(ctx context.Context) {
+// runCrashReports appends the crashes observed by this host to the log. A failed append is not
+// retried: this host has already counted the crash, and a harmful request will cause further
+// crashes.
+func (g *guard) runCrashReports(ctx context.Context) {
 	for {
 		select {
-		case crashes := <-g.found:
-			r := crashRecord(g.host.now(), crashes)
-			if err := g.host.appendSoon(ctx, record.Record{ID: record.NewID(), Crashed: &r}); err != nil {
-				g.host.logger.Warn("end of an endpoint is not told in the log", "endpoint", r.Endpoint, "error", err.Error())
+		case crashes := <-g.unreported:
+			r := newCrashRecord(g.host.now(), crashes)
+			if err := g.host.appendWithTimeout(ctx, record.Record{ID: record.NewID(), Crashed: &r}); err != nil {
+				g.host.logger.Warn("could not append crash report to the log; dropping it", "endpoint", r.Endpoint, "error", err.Error())
 			}
 		case <-ctx.Done():
 			return
@@ -105,8 +108,8 @@
 	}
 }
 
-// crashRecord is the record of crashes at one endpoint.
-func crashRecord(now time.Time, crashes []fleet.Crash) record.Crashed {
+// newCrashRecord returns the record for crashes of one endpoint. crashes must not be empty.
+func newCrashRecord(now time.Time, crashes []fleet.Crash) record.Crashed {
 	r := record.Crashed{Endpoint: string(crashes[0].Endpoint), At: crashes[0].At(now)}
 	for _, c := range crashes {
 		r.Requests = append(r.Requests, record.CrashedRequest(c.Request))
@@ -114,9 +117,9 @@
 	return r
 }
 
-// crashesOf are the crashes that a record tells. Clocks of hosts differ a little; none of the
-// ends lies in the future.
-func crashesOf(now time.Time, r record.Crashed) []fleet.Crash {
+// crashesFromRecord returns the crashes in a record. Timestamps ahead of now, caused by clock skew
+// between hosts, are treated as now.
+func crashesFromRecord(now time.Time, r record.Crashed) []fleet.Crash {
 	var out []fleet.Crash
 	for _, f := range r.Requests {
 		out = append(out, fleet.Crash{
@@ -128,8 +131,8 @@
 	return out
 }
 
-// endpointEnded implements quarantine.Config.Ended.
-func (h *Host) endpointEnded(ctx context.Context, e fleet.Endpoint) (bool, error) {
+// endpointTerminated implements quarantine.Config.Ended.
+func (h *Host) endpointTerminated(ctx context.Context, e fleet.Endpoint) (bool, error) {
 	status, err := h.engine.Status(ctx, e.Addr)
 	if errors.Is(err, external.ErrRefused) {
 		return true, nil
@@ -138,20 +141,20 @@
 	return err == nil && incarnation != "" && status.Incarnation != incarnation, err
 }
 
-// incarnationMark separates the name of a plain service from its incarnation.
-const incarnationMark = "@"
+// incarnationSeparator separates the name of a plain service from its incarnation.
+const incarnationSeparator = "@"
 
-// splitIncarnation takes apart what incarnationOf has made; other IDs have no incarnation.
+// splitIncarnation is the inverse of withIncarnation. For other IDs the incarnation is empty.
 func splitIncarnation(id fleet.EndpointID) (name string, incarnation record.Incarnation) {
-	i := strings.LastIndex(string(id), incarnationMark)
+	i := strings.LastIndex(string(id), incarnationSeparator)
 	if i < 0 {
 		return string(id), ""
 	}
-	return string(id[:i]), record.Incarnation(id[i+len(incarnationMark):])
+	return string(id[:i]), record.Incarnation(id[i+len(incarnationSeparator):])
 }
 
-// announced implements quarantine.Config.Announced.
-func (h *Host) announced(id fleet.EndpointID) bool {
+// leaving implements quarantine.Config.Announced.
+func (h *Host) leaving(id fleet.EndpointID) bool {
 	name, _ := splitIncarnation(id)
 	if e, ok := h.state.Pools.EndpointOf(record.ReplicaID(id)); ok {
 		name = e
@@ -161,13 +164,13 @@
 	return h.members.Leaving(name)
 }
 
-// incarnationOf names the incarnation of a plain service that is at work under a name; the
-// ID of a replica is used once.
-func (h *Host) incarnationOf(id fleet.EndpointID) fleet.EndpointID {
+// withIncarnation appends the current incarnation to the ID of a plain service. Replica IDs are
+// unique and are returned unchanged.
+func (h *Host) withIncarnation(id fleet.EndpointID) fleet.EndpointID {
 	h.membersMu.Lock()
 	defer h.membersMu.Unlock()
 	if incarnation := h.members.Incarnation(string(id)); incarnation != "" {
-		return id + incarnationMark + fleet.EndpointID(incarnation)
+		return id + incarnationSeparator + fleet.EndpointID(incarnation)
 	}
 	return id
 }
--- a/pkg/entryhost/host.go
+++ b/pkg/entryhost/host.go
@@ -1,6 +1,6 @@
-// Package entryhost is one entry host: it takes requests from callers, waits
-// for replicas, calls endpoints and takes its part in owning pools. It joins
-// the decision packages, which do no I/O, with the adapters.
+// Package entryhost implements an entry host: it accepts requests from callers, queues them until
+// a replica is available, dispatches them to endpoints and takes part in the ownership of pools.
+// It connects the packages that make decisions without I/O to the adapters for external systems.
 package entryhost
 
 import (
@@ -31,21 +31,21 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config is what an entry host is made of.
+// Config configures a Host.
 type Config struct {
 	Settings settings.Settings
 	Log      external.Log
 	Engine   external.Engine
 	HostList external.HostList
-	// Store may be nil; the settings then say what the weight store allows.
+	// Store is optional. Without it, the limits of the weight store come from Settings.
 	Store external.WeightStore
-	// PeerTLS is the identity towards other entry hosts.
+	// PeerTLS authenticates this host to the other entry hosts.
 	PeerTLS *tls.Config
 	Logger  *slog.Logger
 	Tracer  trace.TracerProvider
 }
 
-// Host is one running entry host.
+// Host is an entry host.
 type Host struct {
 	settings settings.Settings
 	self     record.HostRef
@@ -61,7 +61,7 @@
 	journal *journal.Journal
 	ledger  *dispatch.Ledger
 	peers   peer.Sender
-	// peerAddr is where other entry hosts reach this one.
+	// peerAddr is the address at which other entry hosts reach this one.
 	peerAddr string
 	node     *peer.Node
 
@@ -80,16 +80,16 @@
 	guard  *guard
 	runner *completion.Runner
 
-	ownersMu sync.Mutex
-	owners   map[string]*owner
+	poolRunnersMu sync.Mutex
+	poolRunners   map[string]*poolRunner
 
-	reportNow chan struct{}
-	joined    atomic.Bool
-	stopping  atomic.Bool
-	deferred  *deferredRunner
+	usageReportDue chan struct{}
+	joined         atomic.Bool
+	stopping       atomic.Bool
+	deferred       *deferredRunner
 }
 
-// New opens the listeners of a host; Run serves them.
+// New returns a Host with open listeners. Call Run to serve them.
 func New(cfg Config) (*Host, error) {
 	h := newHost(cfg)
 	node, err := peer.Listen(cfg.Settings.Peers.Listen, cfg.PeerTLS, peer.HandlerResponder(peerHandler{h}))
@@ -99,18 +99,18 @@
 	h.node = node
 	callers, err := net.Listen("tcp", cfg.Settings.Callers.Listen)
 	if err != nil {
-		return nil, errors.CombineErrors(errors.Wrap(err, "callers"), node.Close())
+		return nil, errors.CombineErrors(errors.Wrap(err, "listen for callers"), node.Close())
 	}
 	h.callers = newDrainListener(callers.(*net.TCPListener))
 	if h.operators, err = net.Listen("tcp", cfg.Settings.Operators.Listen); err != nil {
 		closeErr := errors.CombineErrors(h.callers.Close(), node.Close())
-		return nil, errors.CombineErrors(errors.Wrap(err, "operators"), closeErr)
+		return nil, errors.CombineErrors(errors.Wrap(err, "listen for operators"), closeErr)
 	}
 	h.connect(cfg.Log, node, node.Addr())
 	return h, nil
 }
 
-// newHost returns a host without any connection to others.
+// newHost returns a host that is not yet connected to the log or to peers.
 func newHost(cfg Config) *Host {
 	h := &Host{
 		settings: cfg.Settings,
@@ -118,28 +118,28 @@
 			Host:        cfg.Settings.Host,
 			Incarnation: record.Incarnation(uuid.Must(uuid.NewV7()).String()),
 		},
-		engine:    cfg.Engine,
-		list:      cfg.HostList,
-		store:     cfg.Store,
-		logger:    cfg.Logger.With("host", cfg.Settings.Host),
-		provider:  cfg.Tracer,
-		tracer:    cfg.Tracer.Tracer("github.com/tealvane/tealvane"),
-		metrics:   newMetrics(),
-		state:     state.New(),
-		members:   membership.NewTracker(),
-		watch:     lease.NewWatcher(cfg.Settings.Timing.SessionTTL),
-		health:    serve.NewHealth(),
-		owners:    map[string]*owner{},
-		reportNow: make(chan struct{}, 1),
+		engine:         cfg.Engine,
+		list:           cfg.HostList,
+		store:          cfg.Store,
+		logger:         cfg.Logger.With("host", cfg.Settings.Host),
+		provider:       cfg.Tracer,
+		tracer:         cfg.Tracer.Tracer("github.com/tealvane/tealvane"),
+		metrics:        newMetrics(),
+		state:          state.New(),
+		members:        membership.NewTracker(),
+		watch:          lease.NewWatcher(cfg.Settings.Timing.SessionTTL),
+		health:         serve.NewHealth(),
+		poolRunners:    map[string]*poolRunner{},
+		usageReportDue: make(chan struct{}, 1),
 	}
 	h.queues = shares.NewQueues(shares.Config{
 		Zone:     h.settings.Zone,
 		Replicas: replicas{h},
 		Health:   h.health,
 		Now:      h.now,
-		Terms:    terms,
-		Wanted:   h.reportSoon,
-		Refused:  h.metrics.refusal,
+		Terms:    requestTerms,
+		Wanted:   h.triggerUsageReport,
+		Refused:  h.metrics.recordRefusal,
 	})
 	h.guard = newGuard(h)
 	h.runner = completion.NewRunner(completion.Config{
@@ -157,40 +157,39 @@
 	return h
 }
 
-// connect joins the host with the log and the other hosts. addr is where
-// other hosts reach this one, unless the settings name another address.
+// connect attaches the host to the log and to its peers. Other hosts reach this one at addr,
+// unless the settings contain an address to advertise.
 func (h *Host) connect(log external.Log, peers peer.Sender, addr string) {
 	h.peers = peers
 	h.peerAddr = addr
 	if h.settings.Peers.Advertise != "" {
 		h.peerAddr = h.settings.Peers.Advertise
 	}
-	h.journal = journal.New(log, peer.Reader{Peers: peers, Addrs: h.peerAddrs}, h.state, h.metrics.record)
+	h.journal = journal.New(log, peer.Reader{Peers: peers, Addrs: h.peerAddrs}, h.state, h.metrics.recordOutcome)
 	h.ledger = dispatch.NewLedger(h.self, h.journal, h.state.Keys, h.settings.Timing.BatchInterval, h.now)
 	h.deferred = newDeferredRunner(h)
 }
 
-// loops are the host's own activities, apart from its servers.
+// loops returns the background loops of the host. They run until their context ends.
 func (h *Host) loops() []func(context.Context) {
 	return []func(context.Context){
-		h.journal.Run, h.ledger.Run, h.runSession, h.runClaims, h.runMembers, h.runOwners,
-		h.runUsage, h.runPump, h.runUpkeep, h.deferred.run, h.guard.runDecisions, h.guard.runTold,
+		h.journal.Run, h.ledger.Run, h.runSession, h.runClaims, h.runMembership, h.runPools,
+		h.runUsageReports, h.runQueues, h.runMaintenance, h.deferred.run, h.guard.runDecisions, h.guard.runCrashReports,
 	}
 }
 
-// CallersAddr is the address on which callers are served.
+// CallersAddr returns the listen address of the callers' API.
 func (h *Host) CallersAddr() string { return h.callers.Addr().String() }
 
-// OperatorsAddr is the address on which operators are served.
+// OperatorsAddr returns the listen address of the operators' API.
 func (h *Host) OperatorsAddr() string { return h.operators.Addr().String() }
 
 func (h *Host) now() time.Time { return time.Now() }
 
-// Run serves until ctx ends and then shuts down gracefully: no request is cut
-// and the pools are handed over. Requests that take longer than the drain
-// timeout are cut.
+// Run serves until ctx ends and then shuts down gracefully: it hands its pools over and lets
+// requests in progress finish. Requests that exceed the drain timeout are aborted.
 func (h *Host) Run(ctx context.Context) error {
-	callers, err := h.door().Server(h.provider)
+	callers, err := h.callersAPI().Server(h.provider)
 	if err != nil {
 		return err
 	}
@@ -199,7 +198,7 @@
 		return err
 	}
 	defer h.metrics.closer.Close()
-	h.askStore(ctx)
+	h.applyStoreLimits(ctx)
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group errgroup.Group
@@ -209,8 +208,8 @@
 			return nil
 		})
 	}
-	conns := newOpenConns()
-	callers.ConnState = conns.note
+	conns := newConnTracker()
+	callers.ConnState = conns.track
 	group.Go(func() error { return serveHTTP(callers, h.callers) })
 	group.Go(func() error { return serveHTTP(operators, h.operators) })
 	h.logger.Info("serving", "callers", h.CallersAddr(), "operators", h.OperatorsAddr(), "peers", h.node.Addr())
@@ -228,9 +227,8 @@
 	return nil
 }
 
-// Ready tells whether the host should get requests from the balancer. A fresh
-// host is not ready before it has caught up, or it would serve by contracts
-// that are no longer in force.
+// Ready reports whether the load balancer should send requests to the host. A new host is not
+// ready until it has caught up with the log, so that it never serves by outdated contracts.
 func (h *Host) Ready() bool {
 	return h.journal.CaughtUp() && !h.stopping.Load()
 }
--- a/pkg/entryhost/http_test.go
+++ b/pkg/entryhost/http_test.go
@@ -16,9 +16,9 @@
 	"go.opentelemetry.io/otel/sdk/trace/tracetest"
 )
 
-// overHTTP sends a request through the callers' whole handler.
-func overHTTP(h *fakeHost, path, token, body string, header map[string]string) *httptest.ResponseRecorder {
-	server, err := h.door().Server(h.provider)
+// postHTTP sends a POST request to the HTTP handler for callers.
+func postHTTP(h *fakeHost, path, token, body string, header map[string]string) *httptest.ResponseRecorder {
+	server, err := h.callersAPI().Server(h.provider)
 	if err != nil {
 		panic(err)
 	}
@@ -35,26 +35,26 @@
 	return w
 }
 
-// httpHost runs f on one host whose contract knows the token "t".
-func httpHost(t *testing.T, f func(is *is.I, h *fakeHost, spans *tracetest.InMemoryExporter)) {
+// withHTTPHost runs f on one host whose contract accepts the token "t".
+func withHTTPHost(t *testing.T, f func(is *is.I, h *fakeHost, spans *tracetest.InMemoryExporter)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newFakes()
+		w := newFakeCluster()
 		spans := tracetest.NewInMemoryExporter()
 		w.tracer = sdktrace.NewTracerProvider(sdktrace.WithSyncer(spans))
 		w.addEngine("e0", "p", true)
 		w.addService("s0", "screen")
-		h := w.boot("h0")
+		h := w.startHost("h0")
 		sum := sha256.Sum256([]byte("t"))
 		w.publish(0, strings.Replace(testContract, strings.Repeat("0", 64), hex.EncodeToString(sum[:]), 1))
 		time.Sleep(settleTime)
 		f(is.NewRelaxed(t), h, spans)
-		w.end()
+		w.stopAll()
 	})
 }
 
 func TestTypedErrors(t *testing.T) {
-	httpHost(t, func(is *is.I, h *fakeHost, _ *tracetest.InMemoryExporter) {
+	withHTTPHost(t, func(is *is.I, h *fakeHost, _ *tracetest.InMemoryExporter) {
 		good := `{"model":"m1","prompt":"x"}`
 		for _, c := range []struct {
 			path, token, body string
@@ -71,27 +71,27 @@
 			{"/v1/services/screen/calls", "t", `{}`, 400, "invalid"},
 			{"/v1/deferred", "t", good, 400, "invalid"},
 		} {
-			w := overHTTP(h, c.path, c.token, c.body, nil)
+			w := postHTTP(h, c.path, c.token, c.body, nil)
 			is.Equal(w.Code, c.status)
 			is.True(strings.Contains(w.Body.String(), `"code":"`+c.code+`"`))
 		}
-		refused := overHTTP(h, "/v1/completions", "t", good, map[string]string{"X-Deadline-Ms": "10"})
+		refused := postHTTP(h, "/v1/completions", "t", good, map[string]string{"X-Deadline-Ms": "10"})
 		is.Equal(refused.Code, 503)
 		is.True(refused.Header().Get("Retry-After") != "")
 		is.True(strings.Contains(refused.Body.String(), `"code":"not_run"`))
 	})
 }
 
-// A caller's trace goes on through the entry host: each hop has a span in it.
+// Guards against spans that are missing from the caller's trace.
 func TestSpanForEachHop(t *testing.T) {
-	httpHost(t, func(is *is.I, h *fakeHost, spans *tracetest.InMemoryExporter) {
+	withHTTPHost(t, func(is *is.I, h *fakeHost, spans *tracetest.InMemoryExporter) {
 		const traceID = "0af7651916cd43dd8448eb211c80319c"
-		w := overHTTP(h, "/v1/chat/completions", "t",
+		w := postHTTP(h, "/v1/chat/completions", "t",
 			`{"model":"m1","stream":true,"messages":[{"role":"user","content":"x"}]}`,
 			map[string]string{"Traceparent": "00-" + traceID + "-b7ad6b7169203331-01"})
 		is.Equal(w.Code, 200)
 		is.True(strings.HasSuffix(w.Body.String(), openai.StreamEnd))
-		synctest.Wait() // The span of the endpoint ends after the last byte of the answer.
+		synctest.Wait() // The endpoint span ends after the last byte of the response.
 		names := map[string]bool{}
 		for _, s := range spans.GetSpans() {
 			if s.SpanContext.TraceID().String() == traceID {
--- a/pkg/entryhost/promises_test.go
+++ b/pkg/entryhost/invariants_test.go
@@ -7,21 +7,19 @@
 	"github.com/tealvane/tealvane/internal/api/callers"
 )
 
-// A user's request is dropped, answered after its deadline, answered with
-// another's text, called "not run" although it ran, or run twice. Hosts die,
-// the log is down, slow, or loses its answers, endpoints lose, cut and cross
-// answers, restart, and load slowly, at any moment, together or twice.
+// Guards against requests that are dropped, answered late or incorrectly, reported as not run
+// although they ran, or run twice, under generated failures of hosts, the log and endpoints.
 func TestRequestsUnderFailure(t *testing.T) {
-	checkPlans(t, allFailures, func(r result) []string {
+	checkSchedules(t, allFailures, func(r result) []string {
 		var found []string
 		found = append(found, checkAnswered(r)...)
-		found = append(found, checkWhole(r)...)
+		found = append(found, checkComplete(r)...)
 		found = append(found, checkNotRun(r)...)
 		return append(found, checkAtMostOnce(r)...)
 	})
 }
 
-// checkAnswered: one final answer each, a refusal at latest at the deadline.
+// checkAnswered checks that each call got exactly one answer and that refusals are not late.
 func checkAnswered(r result) (found []string) {
 	for _, c := range r.calls {
 		if c.answers != 1 {
@@ -31,35 +29,35 @@
 			found = append(found, fmt.Sprintf("%s was refused %s after its deadline", c.id, c.end.Sub(c.deadline)))
 		}
 		if c.refusal != nil && c.refusal.Code == callers.ErrorDetailCodeNotRun && c.refusal.RetryAfter <= 0 {
-			found = append(found, fmt.Sprintf("%s was not told when to come back", c.id))
+			found = append(found, fmt.Sprintf("%s was refused without a retry delay", c.id))
 		}
 	}
 	return found
 }
 
-// checkWhole: an answer is the whole answer to the own request.
-func checkWhole(r result) (found []string) {
+// checkComplete checks that each successful completion is the complete answer to its own request.
+func checkComplete(r result) (found []string) {
 	for _, c := range r.calls {
 		service := c.model == "lookup" || c.model == "screen"
-		if c.refusal == nil && !service && c.text != c.expected() {
-			found = append(found, fmt.Sprintf("%s got %q", c.id, c.text))
+		if c.refusal == nil && !service && c.text != c.expectedText() {
+			found = append(found, fmt.Sprintf("%s got incomplete or wrong answer %q", c.id, c.text))
 		}
 	}
 	return found
 }
 
-// checkNotRun: what was refused as not run was run by no endpoint.
+// checkNotRun checks that no endpoint ran a call that was refused as not run.
 func checkNotRun(r result) (found []string) {
 	for _, c := range r.calls {
 		if c.refusal != nil && c.refusal.Code == callers.ErrorDetailCodeNotRun && r.runs[c.id] > 0 {
-			found = append(found, fmt.Sprintf("%s (%s) was refused as not run (%s) and ran", c.id, c.model, c.refusal.Reason))
+			found = append(found, fmt.Sprintf("%s (%s) was refused as not run (%s), but ran", c.id, c.model, c.refusal.Reason))
 		}
 	}
 	return found
 }
 
-// checkAtMostOnce: all requests with one key lead to one run, and all whole
-// answers to them are the same.
+// checkAtMostOnce checks that the calls with one key led to at most one run and that their answers
+// are identical.
 func checkAtMostOnce(r result) (found []string) {
 	runs := map[string]int{}
 	answers := map[string]string{}
@@ -73,7 +71,7 @@
 			continue
 		}
 		if first, known := answers[key]; known && first != c.text {
-			found = append(found, fmt.Sprintf("%s got %q, a repeat got %q", c.id, first, c.text))
+			found = append(found, fmt.Sprintf("%s got answer %q, another call with the same key got %q", c.id, first, c.text))
 		}
 		answers[key] = c.text
 	}
@@ -85,10 +83,10 @@
 	return found
 }
 
-// The schedules would prove nothing if no request were served in them. Models
-// may be refused when the memory does not suffice for all; services may not.
+// Guards against schedules that serve no requests. Models may be refused for lack of memory, but
+// services may not.
 func TestRequestsWithoutFailure(t *testing.T) {
-	checkPlans(t, []string{"slow loads"}, func(r result) []string {
+	checkSchedules(t, []string{"slow loads"}, func(r result) []string {
 		var found []string
 		served := 0
 		for _, c := range r.calls {
--- a/pkg/entryhost/listener.go
+++ b/pkg/entryhost/listener.go
@@ -13,21 +13,19 @@
 	"github.com/tealvane/tealvane/internal/wait"
 )
 
-// idleLinger is for how long a connection has to be idle for a stopping host to close it: its
-// next request is answered, and ends it. A caller that gets no processor for a while would
-// send one just as the host closes the connection, also where its last answer had begun before
-// the stop.
-const idleLinger = 2 * time.Second
-
-// connsPoll is the pause between two looks at the connections.
-const connsPoll = 10 * time.Millisecond
-
-// drainListener is a TCP listener that serves all connections which were made before it stops.
-// One that is only closed resets those that the process has not accepted yet: a caller that
-// had connected in time saw its request cut.
+// idleGracePeriod is how long a connection must be idle before a stopping host closes it. It
+// leaves slow clients time to send their next request, whose response closes the connection.
+const idleGracePeriod = 2 * time.Second
+
+// connPollInterval is the interval at which Shutdown checks whether all connections are drained.
+const connPollInterval = 10 * time.Millisecond
+
+// drainListener is a TCP listener that can stop accepting connections without resetting those in
+// the accept queue. Closing a listener resets every connection that was established but not yet
+// accepted.
 type drainListener struct {
 	tcp *net.TCPListener
-	// accepted ends once the listener takes no more connections.
+	// accepted is closed when the listener accepts no more connections.
 	accepted chan net.Conn
 	closed   chan struct{}
 	once     sync.Once
@@ -39,7 +37,7 @@
 	return l
 }
 
-// run accepts connections until the listener stops or is closed.
+// run accepts connections until the listener is stopped or closed.
 func (l *drainListener) run() {
 	defer close(l.accepted)
 	for {
@@ -47,38 +45,38 @@
 		if err != nil {
 			break
 		}
-		if !l.pass(c) {
+		if !l.deliver(c) {
 			return
 		}
 	}
-	for c := l.pending(); c != nil; c = l.pending() {
-		if !l.pass(c) {
+	for c := l.acceptPending(); c != nil; c = l.acceptPending() {
+		if !l.deliver(c) {
 			return
 		}
 	}
-	_ = l.tcp.Close() // Nobody waits for connections any more.
+	_ = l.tcp.Close()
 }
 
-// pass hands a connection to the server and tells whether it goes on.
-func (l *drainListener) pass(c net.Conn) bool {
+// deliver passes a connection to Accept. It returns false if the listener is closed.
+func (l *drainListener) deliver(c net.Conn) bool {
 	select {
 	case l.accepted <- c:
 		return true
 	case <-l.closed:
-		_ = c.Close() // The process ends.
+		_ = c.Close()
 		return false
 	}
 }
 
-// pending returns a connection that was made and not accepted yet, nil if there is none.
-func (l *drainListener) pending() net.Conn {
+// acceptPending returns a connection from the accept queue, or nil if the queue is empty.
+func (l *drainListener) acceptPending() net.Conn {
 	raw, err := l.tcp.SyscallConn()
 	if err != nil {
 		return nil
 	}
 	fd := -1
 	err = raw.Control(func(listener uintptr) {
-		fd, _, _ = syscall.Accept4(int(listener), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC) // -1 if there is none.
+		fd, _, _ = syscall.Accept4(int(listener), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC) // -1 if the queue is empty.
 	})
 	if err != nil || fd < 0 {
 		return nil
@@ -92,9 +90,9 @@
 	return c
 }
 
-// Stop takes in what is waiting and then no more.
+// Stop stops accepting connections. Connections already in the accept queue are still served.
 func (l *drainListener) Stop() {
-	// An expired deadline ends the wait for connections without closing the socket.
+	// An expired deadline unblocks Accept without closing the socket.
 	if err := l.tcp.SetDeadline(time.Unix(0, 1)); err != nil {
 		_ = l.tcp.Close()
 	}
@@ -115,56 +113,57 @@
 	if err := l.tcp.Close(); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	return nil // It had stopped.
+	return nil // Already closed by run.
 }
 
 // Addr implements net.Listener.
 func (l *drainListener) Addr() net.Addr { return l.tcp.Addr() }
 
-// callersServer serves callers. It implements shutdowner.
+// callersServer is the HTTP server for callers. It implements shutdowner.
 type callersServer struct {
 	*http.Server
 	listener *drainListener
-	conns    *openConns
+	conns    *connTracker
 }
 
-// Shutdown cuts no request that was sent before it on a connection that was open.
+// Shutdown stops the listener, waits until all connections are closed or idle, and shuts the
+// server down. It does not abort requests unless ctx ends.
 func (s *callersServer) Shutdown(ctx context.Context) error {
 	s.listener.Stop()
-	for !s.conns.over(time.Now()) && wait.For(ctx, connsPoll) {
+	for !s.conns.drained(time.Now()) && wait.For(ctx, connPollInterval) {
 	}
 	return s.Server.Shutdown(ctx)
 }
 
-// openConns are the open connections of a server. It is safe for concurrent use.
-type openConns struct {
+// connTracker tracks the open connections of a server. It is safe for concurrent use.
+type connTracker struct {
 	mu sync.Mutex
-	// idleSince is since when no request is under way on each, zero while one is.
+	// idleSince holds the time at which each connection became idle, zero for active connections.
 	idleSince map[net.Conn]time.Time
 }
 
-func newOpenConns() *openConns { return &openConns{idleSince: map[net.Conn]time.Time{}} }
+func newConnTracker() *connTracker { return &connTracker{idleSince: map[net.Conn]time.Time{}} }
 
-// note follows the states of connections, as http.Server.ConnState.
-func (o *openConns) note(c net.Conn, s http.ConnState) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// track records the state of a connection. It has the signature of http.Server.ConnState.
+func (t *connTracker) track(c net.Conn, s http.ConnState) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	switch s {
 	case http.StateClosed, http.StateHijacked:
-		delete(o.idleSince, c)
+		delete(t.idleSince, c)
 	case http.StateIdle:
-		o.idleSince[c] = time.Now()
+		t.idleSince[c] = time.Now()
 	default:
-		o.idleSince[c] = time.Time{}
+		t.idleSince[c] = time.Time{}
 	}
 }
 
-// over tells whether all connections have ended, or have been idle for long.
-func (o *openConns) over(now time.Time) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, since := range o.idleSince {
-		if since.IsZero() || now.Sub(since) < idleLinger {
+// drained reports whether all connections are closed or have been idle for idleGracePeriod.
+func (t *connTracker) drained(now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, since := range t.idleSince {
+		if since.IsZero() || now.Sub(since) < idleGracePeriod {
 			return false
 		}
 	}
--- a/pkg/entryhost/listener_inner_test.go
+++ b/pkg/entryhost/listener_test.go
@@ -12,10 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// A caller connects and sends its request to a host that is short of processor and stops just
-// then. The connection stood in the queue of the listener, which reset it as it closed
-// ("connection reset by peer"), and the request was cut.
-func TestStoppingListenerServesWhatIsWaiting(t *testing.T) {
+// Guards against connections in the accept queue being reset when the listener stops.
+func TestStoppedListenerServesPendingConnections(t *testing.T) {
 	is := is.New(t)
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -33,13 +31,13 @@
 				return
 			}
 			defer c.Close()
-			_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n") // A reset shows in the answer.
+			_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n") // A reset results in an empty answer.
 			answer, _ := io.ReadAll(c)
 			statuses <- len(answer)
 		})
 	}
 	connected.Wait()
-	l.Stop() // nothing was taken from the listener yet
+	l.Stop() // No connection has been accepted yet.
 	s := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(l) }()
@@ -53,17 +51,17 @@
 	is.Equal(<-served, http.ErrServerClosed)
 }
 
-// An answer that had begun before the stop says nothing of it, so that its caller sends the next
-// request on the same connection. That was closed as soon as it was idle ("EOF").
-func TestNextRequestOnAnOpenConnectionIsServed(t *testing.T) {
+// Guards against a connection being closed as soon as it is idle during shutdown, although its
+// client does not know about the shutdown and sends another request.
+func TestShutdownServesNextRequestOnOpenConnection(t *testing.T) {
 	is := is.New(t)
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	began, end := make(chan bool, 2), make(chan bool)
 	var stopping atomic.Bool
-	conns := newOpenConns()
+	conns := newConnTracker()
 	s := &callersServer{listener: newDrainListener(tcp.(*net.TCPListener)), conns: conns}
-	s.Server = &http.Server{ConnState: conns.note, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	s.Server = &http.Server{ConnState: conns.track, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if stopping.Load() {
 			w.Header().Set("Connection", "close")
 		}
@@ -71,24 +69,24 @@
 		began <- true
 		<-end
 	})}
-	go func() { _ = s.Serve(s.listener) }() // It ends with Shutdown.
-	ask := func() {
+	go func() { _ = s.Serve(s.listener) }()
+	get := func() {
 		resp, err := http.Get("http://" + tcp.Addr().String())
 		is.NoErr(err)
 		_, err = io.ReadAll(resp.Body)
 		is.NoErr(err)
 		is.NoErr(resp.Body.Close())
 	}
-	over := make(chan error, 1)
+	shutdownErr := make(chan error, 1)
 	go func() {
 		<-began
 		stopping.Store(true)
-		go func() { over <- s.Shutdown(context.Background()) }()
+		go func() { shutdownErr <- s.Shutdown(context.Background()) }()
 		end <- true
 		<-began
 		end <- true
 	}()
-	ask()
-	ask()
-	is.NoErr(<-over)
+	get()
+	get()
+	is.NoErr(<-shutdownErr)
 }
--- a/pkg/entryhost/load_test.go
+++ b/pkg/entryhost/load_test.go
@@ -16,27 +16,27 @@
 	"github.com/tealvane/tealvane/pkg/external"
 )
 
-// burst sends calls to a model at hosts in turn and waits for all answers.
+// burst sends n calls to the hosts in turn and waits for all answers.
 func burst(hosts []*fakeHost, model string, n int, spread time.Duration) []*testCall {
-	return burstWithin(hosts, model, n, spread, maxWait)
+	return burstWithTimeout(hosts, model, n, spread, maxWait)
 }
 
-func burstWithin(hosts []*fakeHost, model string, n int, spread, wait time.Duration) []*testCall {
+func burstWithTimeout(hosts []*fakeHost, model string, n int, spread, timeout time.Duration) []*testCall {
 	calls := make([]*testCall, n)
 	var waiting sync.WaitGroup
 	for i := range calls {
-		calls[i] = &testCall{id: fmt.Sprintf("%s-%d", model, i), model: model, wait: wait}
+		calls[i] = &testCall{id: fmt.Sprintf("%s-%d", model, i), model: model, timeout: timeout}
 		waiting.Go(func() {
 			time.Sleep(spread * time.Duration(i) / time.Duration(n))
-			calls[i].do(hosts[i%len(hosts)])
+			calls[i].send(hosts[i%len(hosts)])
 		})
 	}
 	waiting.Wait()
 	return calls
 }
 
-// refusedAfter returns how long each refused call had waited.
-func refusedAfter(calls []*testCall) (waits []time.Duration) {
+// refusalDelays returns the time until refusal of each refused call.
+func refusalDelays(calls []*testCall) (waits []time.Duration) {
 	for _, c := range calls {
 		if c.refusal != nil {
 			waits = append(waits, c.end.Sub(c.start))
@@ -45,23 +45,24 @@
 	return waits
 }
 
-// threeHosts runs f on three hosts and two engines that have settled.
-func threeHosts(t *testing.T, f func(is *is.I, f *fakes, hosts []*fakeHost)) {
+// withThreeHosts runs f on a settled cluster of three hosts, two engines and a service.
+func withThreeHosts(t *testing.T, f func(is *is.I, f *fakeCluster, hosts []*fakeHost)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newFakes()
+		w := newFakeCluster()
 		w.addEngine("e0", "p", true)
 		w.addEngine("e1", "p", false)
 		w.addService("l0", "lookup")
-		hosts := []*fakeHost{w.boot("h0"), w.boot("h1"), w.boot("h2")}
+		hosts := []*fakeHost{w.startHost("h0"), w.startHost("h1"), w.startHost("h2")}
 		w.publish(0, testContract)
 		time.Sleep(settleTime)
 		f(is.NewRelaxed(t), w, hosts)
-		w.end()
+		w.stopAll()
 	})
 }
 
-func ownerOf(hosts []*fakeHost) (owner *fakeHost, others []*fakeHost) {
+// splitOwner returns the owner of the pool and the other hosts.
+func splitOwner(hosts []*fakeHost) (owner *fakeHost, others []*fakeHost) {
 	ref, _ := hosts[0].state.Pools.Owner("p")
 	for _, h := range hosts {
 		if h.self == ref {
@@ -73,19 +74,17 @@
 	return owner, others
 }
 
-// Callers send ten times what two replicas can serve. Those that cannot be
-// served in time are refused when that is known, not shortly before their
-// deadline, and the others are served in time.
-func TestTenTimesTheCapacity(t *testing.T) {
-	threeHosts(t, func(is *is.I, _ *fakes, hosts []*fakeHost) {
+// Guards against requests in an overload that time out in the queue instead of being refused
+// early.
+func TestOverloadIsRefusedEarly(t *testing.T) {
+	withThreeHosts(t, func(is *is.I, _ *fakeCluster, hosts []*fakeHost) {
 		is.Equal(burst(hosts, "narrow", 1, 0)[0].refusal, nil)
-		// One replica with a place at each of 3 hosts and 61 ms a request serves
-		// about 49 requests a second; 500 a second are sent.
-		calls := burstWithin(hosts, "narrow", 250, 500*time.Millisecond, 2*time.Second)
-		served := len(calls) - len(refusedAfter(calls))
+		// The load is about ten times the capacity.
+		calls := burstWithTimeout(hosts, "narrow", 250, 500*time.Millisecond, 2*time.Second)
+		served := len(calls) - len(refusalDelays(calls))
 		is.True(served > 50)
 		is.True(served < len(calls))
-		for _, wait := range refusedAfter(calls) {
+		for _, wait := range refusalDelays(calls) {
 			is.True(wait < time.Second)
 		}
 		for _, c := range calls {
@@ -96,10 +95,9 @@
 	})
 }
 
-// One customer's burst makes another one's few requests for the same model
-// wait for seconds behind it.
-func TestBurstDoesNotStarveOthers(t *testing.T) {
-	threeHosts(t, func(is *is.I, f *fakes, hosts []*fakeHost) {
+// Guards against a burst of one customer delaying another customer's requests for the same model.
+func TestBurstDoesNotStarveOtherCustomers(t *testing.T) {
+	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
 		f.publishFor("d", 0, strings.Replace(testContract, "customer: c", "customer: d", 1))
 		is.Equal(burst(hosts, "narrow", 1, 0)[0].refusal, nil)
 		var small []*testCall
@@ -109,7 +107,7 @@
 			small = append(small, c)
 			waiting.Go(func() {
 				time.Sleep(300*time.Millisecond + time.Duration(i)*20*time.Millisecond)
-				c.do(hosts[i%len(hosts)])
+				c.send(hosts[i%len(hosts)])
 			})
 		}
 		burst(hosts, "narrow", 250, 200*time.Millisecond)
@@ -121,12 +119,12 @@
 	})
 }
 
-// The log is down and a model is not loaded: nobody can decide to load it. The
-// caller is told so at once, with when to come back; loaded models go on.
-func TestColdRequestWhileLogIsDown(t *testing.T) {
-	threeHosts(t, func(is *is.I, f *fakes, hosts []*fakeHost) {
+// Guards against requests waiting for a model that cannot be loaded during a log outage. Loaded
+// models continue to be served.
+func TestColdRequestIsRefusedWhileLogIsDown(t *testing.T) {
+	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
 		is.Equal(burst(hosts, "m1", 1, 0)[0].refusal, nil)
-		f.setDown(true)
+		f.setLogDown(true)
 		time.Sleep(2 * time.Second)
 		for _, c := range burst(hosts, "m2", 6, 0) {
 			is.True(c.refusal != nil)
@@ -140,11 +138,10 @@
 	})
 }
 
-// The owner of the pool dies while callers wait for a model. They are served
-// by its successor, or refused as soon as that cannot be in time.
-func TestOwnerDiesWhileRequestsWait(t *testing.T) {
-	threeHosts(t, func(is *is.I, _ *fakes, hosts []*fakeHost) {
-		owner, others := ownerOf(hosts)
+// Guards against queued requests being lost when the owner of the pool crashes.
+func TestOwnerCrashWithQueuedRequests(t *testing.T) {
+	withThreeHosts(t, func(is *is.I, _ *fakeCluster, hosts []*fakeHost) {
+		owner, others := splitOwner(hosts)
 		time.AfterFunc(100*time.Millisecond, owner.kill)
 		calls := burst(others, "m1", 8, 50*time.Millisecond)
 		for _, c := range calls {
@@ -153,10 +150,9 @@
 	})
 }
 
-// The weight store is slow: loads take longer than any caller waits. Callers
-// are refused in time, and later ones at once, from what was learned.
-func TestSlowStore(t *testing.T) {
-	threeHosts(t, func(is *is.I, f *fakes, hosts []*fakeHost) {
+// Guards against requests waiting past their deadline when loads take longer than expected.
+func TestSlowWeightStore(t *testing.T) {
+	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
 		for _, e := range f.engines {
 			e.loadTime = 30 * time.Second
 		}
@@ -167,8 +163,8 @@
 		time.Sleep(26 * time.Second)
 		is.Equal(burst(hosts, "m1", 1, 0)[0].refusal, nil)
 
-		// Unloaded again, the model is known to take too long: the refusal comes
-		// at once, and who comes back when told finds it loaded.
+		// The model is unloaded again. Its observed load time causes an immediate refusal whose
+		// retry delay is long enough for the load.
 		time.Sleep(20 * time.Second)
 		c := burst(hosts[:1], "m1", 1, 0)[0]
 		is.True(c.refusal != nil)
@@ -178,37 +174,35 @@
 	})
 }
 
-// A service rejects all calls and asks each host for a pause. Hosts went on to call it with each
-// request of a desk.
-func TestServiceThatAsksForAPauseIsLeftAlone(t *testing.T) {
-	threeHosts(t, func(is *is.I, f *fakes, hosts []*fakeHost) {
+// Guards against hosts that keep calling a service that asked them to back off.
+func TestServiceBackoffIsHonored(t *testing.T) {
+	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
 		f.joinService("l1", "lookup")
 		time.Sleep(settleTime)
 		const pause = 2 * time.Second
 		f.mu.Lock()
 		busy := f.engines["l0"]
-		busy.busyFor = pause
+		busy.rejectPause = pause
 		f.mu.Unlock()
 		calls := 0
 		for start := time.Now(); time.Since(start) < pause/2; calls++ {
 			c := &testCall{id: completion.NewRequestID(), model: "lookup"}
-			c.do(hosts[calls%2])
+			c.send(hosts[calls%2])
 			is.Equal(c.refusal, nil)
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		is.True(busy.asked <= 2) // once a host
+		is.True(busy.rejected <= 2) // Once per host.
 	})
 }
 
-// Mechanics are sent to an endpoint that is going away. One host's list shows
-// it as leaving, then shows the opposite, the others' lists lag; no host sends
-// it new work after a few seconds.
-func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
-	threeHosts(t, func(is *is.I, f *fakes, hosts []*fakeHost) {
+// Guards against requests being sent to a leaving endpoint, even if the notice is withdrawn or the
+// host lists of other hosts lag.
+func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
+	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
 		is.Equal(burst(hosts, "m0", 30, time.Second)[0].refusal, nil)
-		leaving := loadedOn(f, "m0")
-		// Only the first host's list is up to date.
+		leaving := engineWithModel(f, "m0")
+		// Only h0 has an up-to-date list.
 		f.freezeList("h1", "h2")
 		f.setLeaving(leaving.name, true)
 		time.Sleep(time.Second)
@@ -224,7 +218,7 @@
 	})
 }
 
-func loadedOn(f *fakes, model string) *fakeEngine {
+func engineWithModel(f *fakeCluster, model string) *fakeEngine {
 	for _, e := range f.engines {
 		for _, r := range e.replicas {
 			if r.Model == model {
@@ -235,48 +229,46 @@
 	return nil
 }
 
-// freezeList keeps the list of some hosts as it is.
-func (f *fakes) freezeList(hosts ...string) {
+// freezeList stops updating the host list that some hosts see.
+func (f *fakeCluster) freezeList(hosts ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, h := range hosts {
-		f.frozen[h] = slices.Clone(f.list)
+		f.staleLists[h] = slices.Clone(f.hostList)
 	}
 }
 
-func (f *fakes) setLeaving(name string, leaving bool) {
+func (f *fakeCluster) setLeaving(name string, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	i := slices.IndexFunc(f.list, func(l external.ListedHost) bool { return l.Name == name })
-	f.list[i].Leaving = leaving
+	i := slices.IndexFunc(f.hostList, func(l external.ListedHost) bool { return l.Name == name })
+	f.hostList[i].Leaving = leaving
 }
 
-// Shutdown waits for the requests of the test, as an HTTP server does.
+// Shutdown implements shutdowner. It waits for the requests in progress.
 func (h *fakeHost) Shutdown(context.Context) error {
 	h.active.Wait()
 	return nil
 }
 
-// drainNow shuts a host down as a SIGTERM does.
-func (h *fakeHost) drainNow() {
+// terminate shuts the host down as SIGTERM does.
+func (h *fakeHost) terminate() {
 	h.drain(context.Background(), h)
 	h.kill()
 }
 
-// Two of three hosts are stopped at once, under load, with requests queued for
-// a model that is being loaded. No request is cut, and the pool always has an
-// owner that is not stopping.
-func TestTwoHostsStopAtOnce(t *testing.T) {
-	threeHosts(t, func(is *is.I, _ *fakes, hosts []*fakeHost) {
-		owner, others := ownerOf(hosts)
+// Guards against aborted requests and unowned pools when two of three hosts stop under load.
+func TestTwoHostsStopConcurrently(t *testing.T) {
+	withThreeHosts(t, func(is *is.I, _ *fakeCluster, hosts []*fakeHost) {
+		owner, others := splitOwner(hosts)
 		var stopping sync.WaitGroup
 		time.AfterFunc(500*time.Millisecond, func() {
-			stopping.Go(owner.drainNow)
-			stopping.Go(others[0].drainNow)
+			stopping.Go(owner.terminate)
+			stopping.Go(others[0].terminate)
 		})
 		for _, c := range burst(hosts, "m0", 40, 400*time.Millisecond) {
 			is.Equal(c.refusal, nil)
-			is.Equal(c.text, c.expected())
+			is.Equal(c.text, c.expectedText())
 		}
 		stopping.Wait()
 		ref, _ := others[1].state.Pools.Owner("p")
@@ -286,27 +278,26 @@
 	})
 }
 
-// After a take-over all models are cold: the new owner has not asked the
-// endpoints yet, or its list leaves them out for a moment, and it takes them
-// for lost and retires their replicas.
+// Guards against a new pool owner that considers unlisted or not yet probed endpoints lost and
+// unloads their replicas.
 func TestTakeoverKeepsReplicas(t *testing.T) {
-	threeHosts(t, func(is *is.I, f *fakes, hosts []*fakeHost) {
+	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
 		for _, model := range []string{"m0", "m1", "m2"} {
 			is.Equal(burst(hosts, model, 1, 0)[0].refusal, nil)
 		}
 		before := f.replicaIDs()
-		owner, others := ownerOf(hosts)
+		owner, others := splitOwner(hosts)
 		f.freezeList("h0", "h1", "h2")
 		f.mu.Lock()
-		for h := range f.frozen {
-			f.frozen[h] = nil
+		for h := range f.staleLists {
+			f.staleLists[h] = nil
 		}
 		f.mu.Unlock()
 		owner.kill()
 		for i := range 16 {
 			if i == 9 {
 				f.mu.Lock()
-				clear(f.frozen)
+				clear(f.staleLists)
 				f.mu.Unlock()
 			}
 			for _, model := range []string{"m0", "m1", "m2"} {
@@ -319,8 +310,8 @@
 	})
 }
 
-// replicaIDs returns what the engines hold.
-func (f *fakes) replicaIDs() []string {
+// replicaIDs returns the IDs of the replicas on all engines.
+func (f *fakeCluster) replicaIDs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ids []string
--- a/pkg/entryhost/loops.go
+++ b/pkg/entryhost/loops.go
@@ -12,7 +12,7 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// every calls f at once and then with a period until ctx ends.
+// every calls f immediately and then once per period until ctx ends.
 func every(ctx context.Context, period time.Duration, f func(context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -26,8 +26,9 @@
 	}
 }
 
-// appendSoon appends a record whose loss is harmless, with bounded patience.
-func (h *Host) appendSoon(ctx context.Context, r record.Record) error {
+// appendWithTimeout appends a record that is safe to lose. It returns an error if the append does
+// not complete within the session TTL or if the record is rejected.
+func (h *Host) appendWithTimeout(ctx context.Context, r record.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, h.settings.Timing.SessionTTL)
 	defer cancel()
 	out, err := h.journal.Append(ctx, r)
@@ -37,18 +38,18 @@
 	return out.Void
 }
 
-// runSession joins and sends heartbeats.
+// runSession opens the session of this host and sends heartbeats.
 func (h *Host) runSession(ctx context.Context) {
 	every(ctx, h.settings.Timing.SessionRenew, func(ctx context.Context) {
 		if h.journal.CaughtUp() {
-			h.renew(ctx)
+			h.renewSession(ctx)
 		}
 	})
 }
 
-// runClaims watches the sessions of all hosts and claims pools without a live
-// owner. It looks more often than heartbeats come: what it sees late is added
-// to the time for which a pool has no owner.
+// runClaims monitors the sessions of all hosts and claims pools without a live owner. It checks
+// more often than heartbeats are sent, because detection delay adds to the time a pool has no
+// owner.
 func (h *Host) runClaims(ctx context.Context) {
 	every(ctx, h.settings.Timing.Tick, func(ctx context.Context) {
 		if !h.journal.CaughtUp() {
@@ -62,14 +63,14 @@
 	})
 }
 
-// renew joins again when the session is unknown: it may have been ended by a
-// host that took this one for gone.
-func (h *Host) renew(ctx context.Context) {
+// renewSession sends a heartbeat. If the session does not exist, for example because another host
+// considered this one dead and ended it, renewSession opens a new one.
+func (h *Host) renewSession(ctx context.Context) {
 	r := record.Record{Renew: &record.HostRenew{HostRef: h.self, Leaving: h.stopping.Load()}}
 	if !h.state.Hosts.Has(h.self) {
 		r = record.Record{Join: &record.HostJoin{HostRef: h.self, PeerAddr: h.peerAddr, Zone: h.settings.Zone}}
 	}
-	if err := h.appendSoon(ctx, r); err != nil {
+	if err := h.appendWithTimeout(ctx, r); err != nil {
 		h.metrics.renewFailed()
 		return
 	}
@@ -86,51 +87,51 @@
 			continue
 		}
 		claim := record.PoolClaim{Pool: name, PrevEpoch: epoch, Owner: h.self}
-		if err := h.appendSoon(ctx, record.Record{Claim: &claim}); err == nil {
+		if err := h.appendWithTimeout(ctx, record.Record{Claim: &claim}); err == nil {
 			h.logger.Info("claimed pool", "pool", name, "from", owner.Host)
 		}
 	}
 }
 
-// runMembers follows the platform's list and probes the endpoints.
-func (h *Host) runMembers(ctx context.Context) {
+// runMembership polls the platform's host list and probes endpoints.
+func (h *Host) runMembership(ctx context.Context) {
 	var probes sync.WaitGroup
 	defer probes.Wait()
 	probes.Go(func() { every(ctx, h.settings.Timing.Probe, h.probeAll) })
-	every(ctx, h.settings.Timing.HostListPoll, h.pollList)
+	every(ctx, h.settings.Timing.HostListPoll, h.pollHostList)
 }
 
-func (h *Host) pollList(ctx context.Context) {
+func (h *Host) pollHostList(ctx context.Context) {
 	hosts, err := h.list.List(ctx)
 	if err != nil {
 		h.metrics.listFailed()
 		return
 	}
 	h.membersMu.Lock()
-	news := h.members.Listed(h.now(), hosts)
+	leaves := h.members.Listed(h.now(), hosts)
 	h.listed = hosts
 	h.membersMu.Unlock()
-	if len(news) > 0 {
-		h.tellLeaving(ctx, news)
+	if len(leaves) > 0 {
+		h.notifyLeaving(ctx, leaves)
 	}
-	h.reportGone(ctx)
+	h.endGoneSessions(ctx)
 	h.pruneHealth()
 }
 
-// tellLeaving passes on what this host's list shows; other hosts' lists may lag.
-func (h *Host) tellLeaving(ctx context.Context, news []membership.Leave) {
-	h.logger.Info("endpoints are leaving", "endpoints", news)
+// notifyLeaving sends leave notices to the other entry hosts, whose host lists may lag.
+func (h *Host) notifyLeaving(ctx context.Context, leaves []membership.Leave) {
+	h.logger.Info("endpoints are leaving", "endpoints", leaves)
 	for _, addr := range h.peerAddrs() {
 		go func() {
-			_, _ = h.peers.Send(ctx, addr, peer.Request{Leave: &peer.LeaveNotice{Endpoints: news}})
+			_, _ = h.peers.Send(ctx, addr, peer.Request{Leave: &peer.LeaveNotice{Endpoints: leaves}})
 		}()
 	}
 }
 
-// reportGone ends the sessions of runs whose process certainly sends no order
-// any more: this run holds the address that theirs had, or they have lapsed
-// and the platform has not listed their host for long.
-func (h *Host) reportGone(ctx context.Context) {
+// endGoneSessions ends sessions of hosts that can no longer send orders: sessions whose peer
+// address now belongs to this host, and lapsed sessions of hosts that the platform no longer
+// lists.
+func (h *Host) endGoneSessions(ctx context.Context) {
 	if !h.joined.Load() {
 		return
 	}
@@ -146,12 +147,13 @@
 		unlisted := h.members.EntryGone(now, s.Host)
 		h.membersMu.Unlock()
 		if s.PeerAddr == h.peerAddr || !live && unlisted {
-			_ = h.appendSoon(ctx, record.Record{Gone: &record.HostGone{HostRef: s.HostRef}})
+			_ = h.appendWithTimeout(ctx, record.Record{Gone: &record.HostGone{HostRef: s.HostRef}})
 		}
 	}
 }
 
-// probeAll asks the endpoints that matter to this host for their status.
+// probeAll requests the status of the endpoints in pools that this host owns and of those that it
+// sends requests to.
 func (h *Host) probeAll(ctx context.Context) {
 	h.membersMu.Lock()
 	targets := h.members.Targets()
@@ -179,7 +181,7 @@
 	}
 }
 
-// usedEndpoints are those with replicas that this host sends requests to now.
+// usedEndpoints returns the endpoints with replicas that this host currently sends requests to.
 func (h *Host) usedEndpoints() map[string]bool {
 	used := map[string]bool{}
 	for _, t := range h.queues.Active() {
@@ -188,8 +190,8 @@
 	return used
 }
 
-// peerAddrs returns the addresses of the other entry hosts. A fresh host that
-// has no state yet takes them from the platform's list.
+// peerAddrs returns the peer addresses of the other entry hosts. The platform's host list is
+// included so that a new host without any state finds its peers.
 func (h *Host) peerAddrs() []string {
 	seen := map[string]bool{h.peerAddr: true}
 	var addrs []string
@@ -218,8 +220,8 @@
 	return addrs
 }
 
-// runUsage reports to the owners how this host uses their models.
-func (h *Host) runUsage(ctx context.Context) {
+// runUsageReports sends the usage of models at this host to the owners of their pools.
+func (h *Host) runUsageReports(ctx context.Context) {
 	ticker := time.NewTicker(h.settings.Timing.Tick)
 	defer ticker.Stop()
 	for {
@@ -228,15 +230,16 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-h.reportNow:
+		case <-h.usageReportDue:
 		}
 	}
 }
 
-// reportSoon makes the next report due: a cold request should not wait for it.
-func (h *Host) reportSoon() {
+// triggerUsageReport requests an immediate usage report, so that a request for a model without a
+// loaded replica does not wait for the next periodic report.
+func (h *Host) triggerUsageReport() {
 	select {
-	case h.reportNow <- struct{}{}:
+	case h.usageReportDue <- struct{}{}:
 	default:
 	}
 }
@@ -250,7 +253,7 @@
 func (h *Host) sendUsage(ctx context.Context, r peer.UsageReport) {
 	owner, _ := h.state.Pools.Owner(r.Pool)
 	if owner == h.self {
-		h.takeUsage(r)
+		h.handleUsage(r)
 		return
 	}
 	for _, s := range h.state.Hosts.Sessions() {
@@ -262,9 +265,9 @@
 	}
 }
 
-// runUpkeep writes snapshots and moves the horizon of idempotency keys. The
-// preferred host does it; a second writer does no harm.
-func (h *Host) runUpkeep(ctx context.Context) {
+// runMaintenance writes snapshots and advances the expiry horizon of idempotency keys. One
+// preferred host does this at a time; concurrent maintenance by two hosts is harmless.
+func (h *Host) runMaintenance(ctx context.Context) {
 	every(ctx, h.settings.Timing.SessionRenew, func(ctx context.Context) {
 		h.watchMu.Lock()
 		best, ok := lease.Preferred("upkeep", h.watch.Candidates(h.now()))
@@ -274,7 +277,7 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 		defer cancel()
-		h.moveHorizon(ctx)
+		h.advanceKeyHorizon(ctx)
 		due := h.state.Snapshots.NewestAsOf() + record.Offset(h.settings.Timing.SnapshotEvery)
 		if h.state.Applied() < due {
 			return
@@ -287,12 +290,13 @@
 
 const (
 	snapshotTimeout = time.Minute
-	// horizonStep is the least by which the horizon moves, so that it costs few records.
-	horizonStep = time.Hour
+	// minHorizonAdvance is the minimum step of the horizon, which limits the number of records.
+	minHorizonAdvance = time.Hour
 )
 
-// moveHorizon forgets keys that are older than every contract asks for.
-func (h *Host) moveHorizon(ctx context.Context) {
+// advanceKeyHorizon expires idempotency keys that are older than the longest retention period of
+// any contract.
+func (h *Host) advanceKeyHorizon(ctx context.Context) {
 	keep := time.Duration(0)
 	for _, customer := range h.state.Contracts.Customers() {
 		if e, ok := h.state.Contracts.Get(customer); ok {
@@ -300,7 +304,7 @@
 		}
 	}
 	before := h.now().Add(-keep)
-	if keep > 0 && before.Sub(h.state.Keys.Horizon()) > horizonStep {
-		_ = h.appendSoon(ctx, record.Record{Horizon: &record.Horizon{Before: before}})
+	if keep > 0 && before.Sub(h.state.Keys.Horizon()) > minHorizonAdvance {
+		_ = h.appendWithTimeout(ctx, record.Record{Horizon: &record.Horizon{Before: before}})
 	}
 }
--- a/pkg/entryhost/operators.go
+++ b/pkg/entryhost/operators.go
@@ -6,6 +6,7 @@
 	"crypto/subtle"
 	"net/http"
 	"strings"
+	"time"
 
 	"github.com/cockroachdb/errors"
 	"github.com/ogen-go/ogen/ogenerrors"
@@ -16,7 +17,13 @@
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-// operatorsAPI implements the operators' interface.
+const (
+	// maxRequestBytes bounds the body of a request to the operators' API.
+	maxRequestBytes   = 4 << 20
+	readHeaderTimeout = 10 * time.Second
+)
+
+// operatorsAPI implements operators.Handler and operators.SecurityHandler.
 type operatorsAPI struct{ host *Host }
 
 func (h *Host) operatorsServer() (*http.Server, error) {
@@ -28,7 +35,7 @@
 	return &http.Server{Handler: http.MaxBytesHandler(server, maxRequestBytes), ReadHeaderTimeout: readHeaderTimeout}, nil
 }
 
-// statusError is an error with its HTTP status.
+// statusError is an error with an HTTP status code.
 type statusError struct {
 	status int
 	err    error
@@ -38,10 +45,10 @@
 
 func (e *statusError) Unwrap() error { return e.err }
 
-var errOperatorToken = &statusError{http.StatusUnauthorized, errors.New("the operators' bearer token is expected")}
+var errOperatorToken = &statusError{http.StatusUnauthorized, errors.New("missing or invalid bearer token for operators")}
 
-// HandleBearer compares the operators' token; without one in the settings the
-// interface listens on a loopback address only and takes any.
+// HandleBearer implements operators.SecurityHandler. If no token is configured, the API listens on
+// a loopback address only and accepts any token.
 func (a operatorsAPI) HandleBearer(ctx context.Context, _ operators.OperationName, t operators.Bearer) (context.Context, error) {
 	want := a.host.settings.Operators.TokenSHA256
 	if want != "" && subtle.ConstantTimeCompare([]byte(want), contract.TokenDigest(t.Token)) != 1 {
@@ -50,7 +57,7 @@
 	return ctx, nil
 }
 
-// NewError turns any error into the typed body.
+// NewError implements operators.Handler. It converts an error to a response.
 func (a operatorsAPI) NewError(_ context.Context, err error) *operators.ErrorStatusCode {
 	out := &operators.ErrorStatusCode{StatusCode: http.StatusBadRequest, Response: operators.Error{Message: err.Error()}}
 	var security *ogenerrors.SecurityError
@@ -103,22 +110,22 @@
 func (a operatorsAPI) GetContract(_ context.Context, params operators.GetContractParams) (*operators.Contract, error) {
 	e, ok := a.host.state.Contracts.Get(params.Customer)
 	if !ok {
-		return nil, &statusError{http.StatusNotFound, errors.Newf("no contract of %q", params.Customer)}
+		return nil, &statusError{http.StatusNotFound, errors.Newf("no contract for customer %q", params.Customer)}
 	}
 	out := contractView(e)
 	return &out, nil
 }
 
-// PublishContract implements operators.Handler. Faults of the document are
-// found before it is published; the race of two operators is decided by the
-// fold.
+// PublishContract implements operators.Handler. Invalid documents are rejected before they are
+// appended. Concurrent publications are resolved when the record is applied, by their base
+// version.
 func (a operatorsAPI) PublishContract(ctx context.Context, req *operators.Publication, params operators.PublishContractParams) (*operators.Contract, error) {
 	c, found := contract.Parse("", []byte(req.Document))
 	if err := found.Err(); err != nil {
 		return nil, err
 	}
 	if c.Customer != params.Customer {
-		return nil, errors.Newf("the document is of customer %q, not %q", c.Customer, params.Customer)
+		return nil, errors.Newf("the document names customer %q, but was published for %q", c.Customer, params.Customer)
 	}
 	if err := c.CheckCapacity(a.poolMemory(), a.otherContracts(params.Customer)).Err(); err != nil {
 		return nil, err
@@ -142,8 +149,8 @@
 	}, nil
 }
 
-// poolMemory sums the memory of the known endpoints by pool. The platform's
-// list names pools before the first contract makes hosts look at them.
+// poolMemory returns the total memory of the known endpoints of each pool. It includes pools in
+// the platform's host list that no contract uses yet.
 func (a operatorsAPI) poolMemory() map[string]int64 {
 	sums := map[string]int64{}
 	a.host.membersMu.Lock()
@@ -156,7 +163,7 @@
 	for name := range sums {
 		p := a.host.state.Pools.Get(name)
 		if len(p.Endpoints) == 0 {
-			sums[name] = unknownMemory
+			sums[name] = unknownMemoryMB
 		}
 		for _, e := range p.Endpoints {
 			if !e.Lost {
@@ -167,8 +174,9 @@
 	return sums
 }
 
-// unknownMemory stands for a pool whose endpoints were not asked yet.
-const unknownMemory = 1 << 40
+// unknownMemoryMB is the capacity assumed for a pool whose endpoints have not reported their
+// memory.
+const unknownMemoryMB = 1 << 40
 
 func (a operatorsAPI) otherContracts(customer string) []*contract.Contract {
 	var others []*contract.Contract
@@ -188,7 +196,7 @@
 // GetReadiness implements operators.Handler.
 func (a operatorsAPI) GetReadiness(context.Context) (operators.Text, error) {
 	if !a.host.Ready() {
-		return operators.Text{}, &statusError{http.StatusServiceUnavailable, errors.New("not ready")}
+		return operators.Text{}, &statusError{http.StatusServiceUnavailable, errors.New("not ready: the host has not caught up with the log or is stopping")}
 	}
 	return operators.Text{Data: strings.NewReader("ready\n")}, nil
 }
@@ -199,19 +207,19 @@
 	if err != nil {
 		return operators.Text{}, err
 	}
-	out := &bufferWriter{header: http.Header{}}
+	out := &responseBuffer{header: http.Header{}}
 	a.host.metrics.handler.ServeHTTP(out, r)
 	return operators.Text{Data: &out.body}, nil
 }
 
-// bufferWriter collects the answer of a handler.
-type bufferWriter struct {
+// responseBuffer is an http.ResponseWriter that keeps the response in memory.
+type responseBuffer struct {
 	header http.Header
 	body   bytes.Buffer
 }
 
-func (w *bufferWriter) Header() http.Header { return w.header }
+func (w *responseBuffer) Header() http.Header { return w.header }
 
-func (w *bufferWriter) Write(p []byte) (int, error) { return w.body.Write(p) }
+func (w *responseBuffer) Write(p []byte) (int, error) { return w.body.Write(p) }
 
-func (w *bufferWriter) WriteHeader(int) {}
+func (w *responseBuffer) WriteHeader(int) {}
--- a/pkg/entryhost/replicas.go
+++ b/pkg/entryhost/replicas.go
@@ -13,11 +13,10 @@
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-// replicas tells the queues what the fold and the list of hosts say of replicas.
+// replicas implements shares.Replicas from the replicated state and the platform's host list.
 type replicas struct{ host *Host }
 
-// Targets implements shares.Replicas. An endpoint that is leaving gets none, whatever the fold
-// says of its replicas.
+// Targets implements shares.Replicas. Endpoints that are leaving are excluded.
 func (r replicas) Targets(kind contract.Kind, poolName, model string) []state.Target {
 	h := r.host
 	if kind == contract.Service {
@@ -29,13 +28,13 @@
 	}
 	h.membersMu.Lock()
 	defer h.membersMu.Unlock()
-	open := targets[:0]
+	available := targets[:0]
 	for _, t := range targets {
 		if !h.members.Leaving(t.Endpoint) {
-			open = append(open, t)
+			available = append(available, t)
 		}
 	}
-	return open
+	return available
 }
 
 func (h *Host) serviceTargets(service string) []state.Target {
@@ -73,18 +72,18 @@
 	return h.watch.Live(h.now(), owner)
 }
 
-// terms returns what the contract says of a request.
-func terms(r *serve.Request) shares.Terms {
+// requestTerms returns the contract terms that apply to a request.
+func requestTerms(r *serve.Request) shares.Terms {
 	c := completion.Of(r)
 	return shares.Terms{Customer: c.Customer, Model: c.Model, Rank: c.Rank}
 }
 
-// cold tells whether no replica of a model is loaded.
+// cold reports whether no replica of a model is loaded.
 func (h *Host) cold(m contract.Model) bool {
 	return len(replicas{h}.Targets(m.Kind, m.Pool, m.Name)) == 0
 }
 
-// pruneHealth drops what is known of replicas that are gone.
+// pruneHealth removes health data of replicas that no longer exist.
 func (h *Host) pruneHealth() {
 	live := map[fleet.EndpointID]bool{}
 	for _, name := range h.state.Pools.Names() {
@@ -100,8 +99,8 @@
 	h.health.Prune(live)
 }
 
-// runPump re-examines all queues on each change of the state and regularly.
-func (h *Host) runPump(ctx context.Context) {
+// runQueues processes all queues after each state change and once per tick.
+func (h *Host) runQueues(ctx context.Context) {
 	ticker := time.NewTicker(h.settings.Timing.Tick)
 	defer ticker.Stop()
 	for {
--- a/pkg/entryhost/call_test.go
+++ b/pkg/entryhost/schedule_test.go
@@ -17,9 +17,9 @@
 
 const (
 	maxWait = 8 * time.Second
-	// settleTime lets hosts join, claim the pool and see its endpoints.
+	// settleTime lets hosts join, claim the pool and discover its endpoints.
 	settleTime = 6 * time.Second
-	// tolerance covers hops of the fakes after a decision was due.
+	// tolerance allows for message delays after a decision is due.
 	tolerance = 20 * time.Millisecond
 )
 
@@ -37,7 +37,7 @@
   - {name: screen, kind: service, pool: s, class: k, concurrency: 4, non_idempotent: true}
 `
 
-// testCall is one request of a test with all that its caller saw.
+// testCall is a request and its outcome as seen by the caller.
 type testCall struct {
 	id       string
 	model    string
@@ -48,17 +48,17 @@
 	text     string
 	refusal  *completion.Refusal
 	answers  int
-	// wait is the caller's longest wait, by default that of the contract.
-	wait time.Duration
-	// customer is "c" unless set, and body names the call.
+	// timeout is the time until the deadline of the call. The default is maxWait.
+	timeout time.Duration
+	// customer defaults to "c". body defaults to the prompt.
 	customer string
 	body     string
 }
 
-// expected is the whole answer to the call.
-func (c *testCall) expected() string { return fakeText(c.prompt()) }
+// expectedText returns the complete answer to the call.
+func (c *testCall) expectedText() string { return fakeText(c.prompt()) }
 
-// prompt is the same for repeats with one key.
+// prompt returns the key, so that retries with the same key have the same prompt, or else the ID.
 func (c *testCall) prompt() string {
 	if c.key != "" {
 		return c.key
@@ -66,12 +66,12 @@
 	return c.id
 }
 
-// do sends a request to a host and notes the answer.
-func (c *testCall) do(h *fakeHost) {
+// send sends the request to a host and records the outcome.
+func (c *testCall) send(h *fakeHost) {
 	h.active.Add(1)
 	defer h.active.Done()
 	c.start = time.Now()
-	c.deadline = c.start.Add(cmp.Or(c.wait, maxWait))
+	c.deadline = c.start.Add(cmp.Or(c.timeout, maxWait))
 	defer func() {
 		c.end = time.Now()
 		c.answers++
@@ -120,41 +120,41 @@
 	c.refusal = refusal
 }
 
-// event is something that happens in a schedule.
+// event is a failure at a point in a schedule.
 type event struct {
 	at   time.Duration
 	kind string
 	arg  int
 }
 
-// plan is a drawn schedule of requests and failures.
-type plan struct {
-	calls  []plannedCall
+// schedule is a generated sequence of requests and failures.
+type schedule struct {
+	calls  []scheduledCall
 	events []event
 }
 
-type plannedCall struct {
+type scheduledCall struct {
 	at    time.Duration
 	host  int
 	model string
 	key   int
 }
 
-func (p plannedCall) keyName() string { return fmt.Sprintf("%s %d", p.model, p.key) }
+func (p scheduledCall) keyName() string { return fmt.Sprintf("%s %d", p.model, p.key) }
 
 const (
-	hostsInPlan = 3
-	horizonMS   = 20_000
+	scheduleHosts    = 3
+	scheduleLengthMS = 20_000
 )
 
-func drawPlan(t *rapid.T, kinds []string) plan {
-	ms := rapid.IntRange(0, horizonMS)
-	var p plan
+func drawSchedule(t *rapid.T, kinds []string) schedule {
+	ms := rapid.IntRange(0, scheduleLengthMS)
+	var p schedule
 	for range rapid.IntRange(5, 60).Draw(t, "calls") {
-		p.calls = append(p.calls, plannedCall{
-			// Many calls start at the same moment.
+		p.calls = append(p.calls, scheduledCall{
+			// Round to whole seconds so that many calls start concurrently.
 			at:    time.Duration(ms.Draw(t, "call at")/1000) * time.Second,
-			host:  rapid.IntRange(0, hostsInPlan-1).Draw(t, "host"),
+			host:  rapid.IntRange(0, scheduleHosts-1).Draw(t, "host"),
 			model: rapid.SampledFrom([]string{"m0", "m1", "m2", "once", "lookup", "screen"}).Draw(t, "model"),
 			key:   rapid.IntRange(0, 5).Draw(t, "key"),
 		})
@@ -170,100 +170,100 @@
 	return p
 }
 
-// result is what a schedule led to.
+// result is the outcome of a schedule.
 type result struct {
-	calls []*testCall
-	fakes *fakes
-	// runs maps each request ID to the number of its runs.
+	calls   []*testCall
+	cluster *fakeCluster
+	// runs counts the runs of each request ID.
 	runs map[string]int
 }
 
-// runPlan carries a schedule out in virtual time.
-func runPlan(p plan) result {
-	f := newFakes()
+// runSchedule executes a schedule in virtual time.
+func runSchedule(p schedule) result {
+	f := newFakeCluster()
 	f.addEngine("e0", "p", true)
 	f.addEngine("e1", "p", false)
 	f.addService("l0", "lookup")
 	f.addService("s0", "screen")
 	f.addService("s1", "screen")
-	hosts := make([]*fakeHost, hostsInPlan)
+	hosts := make([]*fakeHost, scheduleHosts)
 	for i := range hosts {
-		hosts[i] = f.boot(fmt.Sprintf("h%d", i))
+		hosts[i] = f.startHost(fmt.Sprintf("h%d", i))
 	}
 	f.publish(0, testContract)
 	time.Sleep(settleTime)
 	keys := map[string]string{}
-	for _, planned := range p.calls {
-		name := planned.keyName()
+	for _, scheduled := range p.calls {
+		name := scheduled.keyName()
 		if keys[name] == "" {
 			keys[name] = uuid.Must(uuid.NewV7()).String()
 		}
 	}
-	r := result{fakes: f, runs: map[string]int{}}
+	r := result{cluster: f, runs: map[string]int{}}
 	begin := time.Now()
 	var mu sync.Mutex
 	var waiting sync.WaitGroup
-	for i, planned := range p.calls {
-		c := &testCall{id: fmt.Sprintf("call-%d", i), model: planned.model}
-		if planned.model == "once" || planned.model == "screen" {
-			c.key = keys[planned.keyName()]
+	for i, scheduled := range p.calls {
+		c := &testCall{id: fmt.Sprintf("call-%d", i), model: scheduled.model}
+		if scheduled.model == "once" || scheduled.model == "screen" {
+			c.key = keys[scheduled.keyName()]
 		}
 		r.calls = append(r.calls, c)
 		waiting.Go(func() {
-			time.Sleep(planned.at)
+			time.Sleep(scheduled.at)
 			mu.Lock()
-			h := hosts[planned.host]
+			h := hosts[scheduled.host]
 			mu.Unlock()
-			c.do(h)
+			c.send(h)
 		})
 	}
 	for _, e := range p.events {
 		time.Sleep(e.at - time.Since(begin))
 		mu.Lock()
-		f.fail(e, hosts)
+		f.inject(e, hosts)
 		mu.Unlock()
 	}
 	waiting.Wait()
-	f.end()
-	for _, id := range f.allRan() {
+	f.stopAll()
+	for _, id := range f.ranRequests() {
 		r.runs[id]++
 	}
 	return r
 }
 
-// fail brings one failure about.
-func (f *fakes) fail(e event, hosts []*fakeHost) {
+// inject causes a failure.
+func (f *fakeCluster) inject(e event, hosts []*fakeHost) {
 	engines := []*fakeEngine{f.engines["e0"], f.engines["e1"], f.engines["l0"], f.engines["s0"], f.engines["s1"]}
 	engine := engines[e.arg%len(engines)]
 	if e.kind == "kill host" {
 		i := e.arg % len(hosts)
 		hosts[i].kill()
-		hosts[i] = f.boot(hosts[i].settings.Host)
+		hosts[i] = f.startHost(hosts[i].settings.Host)
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch e.kind {
 	case "log down":
-		f.down = true
-		time.AfterFunc(time.Duration(e.arg+1)*time.Second, func() { f.setDown(false) })
+		f.logDown = true
+		time.AfterFunc(time.Duration(e.arg+1)*time.Second, func() { f.setLogDown(false) })
 	case "lose append answers":
-		f.lose += e.arg
+		f.loseAppendAnswers += e.arg
 	case "late appends":
-		f.late += e.arg
+		f.lateAppends += e.arg
 	case "lose answers":
 		engine.loseAnswers += e.arg
 	case "cut streams":
 		engine.cutAfter = e.arg
 	case "cross answers":
-		engine.cross = !engine.cross
+		engine.crossAnswers = !engine.crossAnswers
 	case "slow loads":
 		engine.loadTime = time.Duration(e.arg+1) * time.Second
 	case "restart endpoint":
 		engine.restart()
-		for i := range f.list {
-			if f.list[i].Name == engine.name {
-				f.list[i].Incarnation = engine.incarnation
+		for i := range f.hostList {
+			if f.hostList[i].Name == engine.name {
+				f.hostList[i].Incarnation = engine.incarnation
 			}
 		}
 	}
@@ -274,19 +274,19 @@
 	"cut streams", "cross answers", "slow loads", "restart endpoint",
 }
 
-// inBubble runs f in virtual time and returns what it found.
-func inBubble(t *testing.T, f func() []string) (found []string) {
+// inVirtualTime runs f in a synctest bubble and returns the problems that it found.
+func inVirtualTime(t *testing.T, f func() []string) (found []string) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) { found = f() })
 	return found
 }
 
-// checkPlans runs drawn schedules and checks each result.
-func checkPlans(t *testing.T, kinds []string, check func(result) []string) {
+// checkSchedules runs generated schedules and checks each result.
+func checkSchedules(t *testing.T, kinds []string, check func(result) []string) {
 	t.Helper()
 	rapid.Check(t, func(rt *rapid.T) {
-		p := drawPlan(rt, kinds)
-		found := inBubble(t, func() []string { return check(runPlan(p)) })
+		p := drawSchedule(rt, kinds)
+		found := inVirtualTime(t, func() []string { return check(runSchedule(p)) })
 		for _, problem := range found {
 			rt.Errorf("%s", problem)
 		}
--- a/pkg/entryhost/stream_test.go
+++ b/pkg/entryhost/stream_test.go
@@ -14,7 +14,7 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// stream returns all that a caller of a streamed completion reads.
+// stream returns the body of a streamed completion.
 func stream(h *fakeHost, model, id string) (string, *completion.Refusal) {
 	entry, _ := h.state.Contracts.Get("c")
 	m, _ := entry.Contract.Model(model)
@@ -26,7 +26,7 @@
 	if refusal != nil {
 		return "", refusal
 	}
-	events, refusal := h.door().Text(a)
+	events, refusal := h.callersAPI().Text(a)
 	if refusal != nil {
 		return "", refusal
 	}
@@ -35,18 +35,17 @@
 	return string(data), nil
 }
 
-// A reader takes half an answer for the whole one: the engine breaks each
-// stream after two tokens. An idempotent request is resumed until it is whole;
-// one that may not run again ends with an error and without the end marker.
-func TestBrokenStreamIsResumedOrSaidToBeBroken(t *testing.T) {
-	threeHosts(t, func(is *is.I, f *fakes, hosts []*fakeHost) {
+// Guards against a truncated stream that looks complete. Streams of idempotent requests are
+// resumed, others end with an error and without the end marker.
+func TestBrokenStreamIsResumedOrReported(t *testing.T) {
+	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
 		for _, e := range f.engines {
 			e.cutAfter = 2
 		}
-		whole, refusal := stream(hosts[0], "m1", "q1")
+		complete, refusal := stream(hosts[0], "m1", "q1")
 		is.Equal(refusal, nil)
-		is.Equal(strings.Count(whole, "q1 "), fakeTokens)
-		is.True(strings.HasSuffix(whole, openai.StreamEnd))
+		is.Equal(strings.Count(complete, "q1 "), fakeTokens)
+		is.True(strings.HasSuffix(complete, openai.StreamEnd))
 
 		broken, refusal := stream(hosts[0], "once", "q2")
 		is.Equal(refusal, nil)
