--- a/internal/standin/deployment.go
+++ b/internal/standin/deployment.go
@@ -15,16 +15,15 @@
 	"github.com/tealvane/tealvane/pkg/yamlx"
 )
 
-// Config describes the stand-ins of one deployment.
+// Config configures the stand-ins of a deployment.
 type Config struct {
 	Platform  PlatformConfig   `yaml:"platform"`
 	Endpoints []EndpointConfig `yaml:"endpoints"`
-	// EntryHosts are shown in the list of hosts.
+	// EntryHosts are added to the host list.
 	EntryHosts []EntryHostConfig `yaml:"entry_hosts"`
 }
 
-// PlatformConfig describes the log, the weight store and the list of hosts,
-// which share one address.
+// PlatformConfig configures the log, the weight store and the host list, which share one address.
 type PlatformConfig struct {
 	Listen         string        `yaml:"listen"`
 	LoadsPerSecond float64       `yaml:"loads_per_second"`
@@ -33,7 +32,7 @@
 	ListLag        time.Duration `yaml:"list_lag"`
 }
 
-// EndpointConfig describes one engine or plain service.
+// EndpointConfig configures a model engine or plain service.
 type EndpointConfig struct {
 	Name          string        `yaml:"name"`
 	Listen        string        `yaml:"listen"`
@@ -46,31 +45,31 @@
 	PerToken      time.Duration `yaml:"per_token"`
 }
 
-// EntryHostConfig is one entry host in the list.
+// EntryHostConfig is an entry host in the host list.
 type EntryHostConfig struct {
 	Name string `yaml:"name"`
 	Peer string `yaml:"peer"`
 	Zone string `yaml:"availability_zone"`
 }
 
-// LoadConfig reads a configuration file.
+// LoadConfig reads a configuration from a YAML file.
 func LoadConfig(file string) (Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return Config{}, errors.Wrap(err, "stand-ins")
+		return Config{}, errors.Wrap(err, "read stand-in configuration")
 	}
 	c, found := ParseConfig(file, data)
 	return c, found.Err()
 }
 
-// ParseConfig decodes a configuration.
+// ParseConfig decodes a YAML configuration. file names the document in findings.
 func ParseConfig(file string, data []byte) (Config, finding.List) {
 	c := Config{Platform: PlatformConfig{LoadsPerSecond: 15, Concurrent: 4, MBPerSecond: 8000}}
 	doc := yamlx.Decode(file, data, &c)
 	return c, doc.Findings()
 }
 
-// Platform is the log, the weight store and the list of hosts together.
+// Platform is a running log, weight store and host list.
 type Platform struct {
 	Log   *Log
 	Store *Store
@@ -79,7 +78,7 @@
 	close func()
 }
 
-// StartPlatform serves the platform at its address.
+// StartPlatform starts an HTTP server for the log, the weight store and the host list.
 func StartPlatform(c PlatformConfig, entryHosts []EntryHostConfig) (*Platform, error) {
 	p := &Platform{
 		Log:   NewLog(),
@@ -101,10 +100,10 @@
 	return p, err
 }
 
-// Close ends the platform.
+// Close stops the server.
 func (p *Platform) Close() { p.close() }
 
-// listen serves a handler and returns its URL.
+// listen starts an HTTP server and returns its URL and a function that stops it.
 func listen(addr string, handler http.Handler) (string, func(), error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -115,16 +114,16 @@
 	return "http://" + l.Addr().String(), func() { _ = server.Close() }, nil
 }
 
-// RunningEndpoint is an engine that is served and listed.
+// RunningEndpoint is an engine with an HTTP server and an entry in the host list.
 type RunningEndpoint struct {
 	*Engine
-	URL  string
-	list string
-	host external.ListedHost
-	stop func()
+	URL     string
+	listURL string
+	listed  external.ListedHost
+	stop    func()
 }
 
-// StartEndpoint serves an engine and puts it on the list at platformURL.
+// StartEndpoint starts an engine and adds it to the host list at platformURL.
 func StartEndpoint(c EndpointConfig, platformURL string) (*RunningEndpoint, error) {
 	engine := NewEngine(EngineConfig{
 		MemoryMB:      c.MemoryMB,
@@ -132,15 +131,15 @@
 		FirstToken:    c.FirstToken,
 		PerToken:      c.PerToken,
 		Fetch: func(ctx context.Context, memoryMB int64) error {
-			return send(ctx, http.MethodPost, platformURL+"/v1/fetch", fetchRequest{memoryMB})
+			return sendJSON(ctx, http.MethodPost, platformURL+"/v1/fetch", fetchRequest{memoryMB})
 		},
 	})
 	url, stop, err := listen(c.Listen, engine.Handler())
 	if err != nil {
 		return nil, err
 	}
-	e := &RunningEndpoint{Engine: engine, URL: url, stop: stop, list: platformURL + "/v1/hosts/" + c.Name}
-	e.host = external.ListedHost{
+	e := &RunningEndpoint{Engine: engine, URL: url, stop: stop, listURL: platformURL + "/v1/hosts/" + c.Name}
+	e.listed = external.ListedHost{
 		Name:          c.Name,
 		Kind:          external.EndpointHost,
 		Incarnation:   engine.Incarnation(),
@@ -150,25 +149,25 @@
 		Service:       c.Service,
 		ChecksFencing: c.ChecksFencing,
 	}
-	return e, send(context.Background(), http.MethodPut, e.list, e.host)
+	return e, sendJSON(context.Background(), http.MethodPut, e.listURL, e.listed)
 }
 
-// Leave shows the endpoint as leaving.
+// Leave marks the endpoint as leaving in the host list.
 func (e *RunningEndpoint) Leave() error {
-	e.host.Leaving = true
-	return send(context.Background(), http.MethodPut, e.list, e.host)
+	e.listed.Leaving = true
+	return sendJSON(context.Background(), http.MethodPut, e.listURL, e.listed)
 }
 
-// Kill ends the endpoint without a word.
+// Kill stops the endpoint without removing it from the host list.
 func (e *RunningEndpoint) Kill() { e.stop() }
 
-// Close takes the endpoint off the list and ends it.
+// Close removes the endpoint from the host list and stops it.
 func (e *RunningEndpoint) Close() {
-	_ = send(context.Background(), http.MethodDelete, e.list, nil)
+	_ = sendJSON(context.Background(), http.MethodDelete, e.listURL, nil)
 	e.stop()
 }
 
-func send(ctx context.Context, method, url string, in any) error {
+func sendJSON(ctx context.Context, method, url string, in any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return err
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,44 +16,46 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// EngineConfig describes an engine.
+// EngineConfig configures an Engine.
 type EngineConfig struct {
 	MemoryMB      int64
 	ChecksFencing bool
 	FirstToken    time.Duration
 	PerToken      time.Duration
-	// Fetch loads a checkpoint from the weight store.
+	// Fetch fetches a checkpoint from the weight store.
 	Fetch func(ctx context.Context, memoryMB int64) error
 }
 
-// EngineFaults tells an engine how to fail.
+// EngineFaults configures the faults of an Engine.
 type EngineFaults struct {
-	// CutAfter ends each stream without its end marker after that many tokens.
+	// CutAfter truncates each stream after that many tokens. Zero disables the fault.
 	CutAfter int `json:"cut_after"`
-	// Cross labels answers with another request's ID.
+	// Cross sends tokens with the ID of another request.
 	Cross bool `json:"cross"`
-	// LoseAnswers runs that many calls and closes the connection instead of answering.
+	// LoseAnswers is the number of service calls that run without a response. The connection is
+	// closed instead.
 	LoseAnswers int `json:"lose_answers"`
-	// LoadDelay slows each load.
+	// LoadDelay is added to each load.
 	LoadDelay time.Duration `json:"load_delay"`
-	// FailLoads refuses each load.
+	// FailLoads makes each load fail.
 	FailLoads bool `json:"fail_loads"`
 }
 
-// Engine is a model engine, and a plain service as well.
+// Engine is a model engine that also serves calls as a plain service. It is safe for concurrent
+// use.
 type Engine struct {
 	cfg         EngineConfig
 	incarnation record.Incarnation
 
-	mu       sync.Mutex
-	faults   EngineFaults
-	token    record.Offset
-	replicas map[record.ReplicaID]*replica
-	running  map[string]context.CancelFunc
-	ran      []string
-	peakMB   int64
-	peak     map[string]int
-	loads    int
+	mu         sync.Mutex
+	faults     EngineFaults
+	fenceToken record.Offset
+	replicas   map[record.ReplicaID]*replica
+	running    map[string]context.CancelFunc
+	ran        []string
+	peakMB     int64
+	peak       map[string]int
+	loads      int
 }
 
 type replica struct {
@@ -62,7 +64,7 @@
 	failed error
 }
 
-// NewEngine returns an engine with empty memory.
+// NewEngine returns an engine without replicas.
 func NewEngine(cfg EngineConfig) *Engine {
 	return &Engine{
 		cfg:         cfg,
@@ -73,35 +75,35 @@
 	}
 }
 
-// Incarnation identifies this run of the engine.
+// Incarnation returns the ID of this incarnation of the engine.
 func (e *Engine) Incarnation() record.Incarnation { return e.incarnation }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the current faults.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Observed is what an engine saw, for tests.
+// Observed records the activity of an engine for tests.
 type Observed struct {
-	// Ran lists the IDs of all requests that were run, in order.
+	// Ran lists the IDs of all requests that ran, in order.
 	Ran []string `json:"ran"`
-	// PeakMB is the most memory that replicas held at once.
+	// PeakMB is the peak memory usage of all replicas.
 	PeakMB int64 `json:"peak_mb"`
-	// Peak is the most replicas of each model at once.
+	// Peak is the peak number of replicas of each model.
 	Peak  map[string]int `json:"peak"`
 	Loads int            `json:"loads"`
 }
 
-// Observed returns what the engine saw.
+// Observed returns the activity of the engine so far.
 func (e *Engine) Observed() Observed {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return Observed{slices.Clone(e.ran), e.peakMB, maps.Clone(e.peak), e.loads}
 }
 
-// Handler serves the engine's protocol and, under /control, its faults.
+// Handler returns a handler for the engine protocol and, under /control, for fault injection.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.status()) })
@@ -112,7 +114,7 @@
 	mux.HandleFunc("GET /v1/cache-events", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, map[string]any{"events": []external.CacheEvent{}})
 	})
-	mux.HandleFunc("POST /control/engine", control(e.SetFaults))
+	mux.HandleFunc("POST /control/engine", controlHandler(e.SetFaults))
 	mux.HandleFunc("GET /control/observed", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Observed()) })
 	return mux
 }
@@ -140,8 +142,8 @@
 	if !readJSON(w, r, &in) {
 		return
 	}
-	if !e.fence(in.Fence) {
-		http.Error(w, "fencing token is older than one seen before", http.StatusPreconditionFailed)
+	if !e.checkFence(in.Fence) {
+		http.Error(w, "stale fencing token", http.StatusPreconditionFailed)
 		return
 	}
 	var err error
@@ -162,20 +164,21 @@
 	writeJSON(w, in)
 }
 
-func (e *Engine) fence(token record.Offset) bool {
+func (e *Engine) checkFence(fenceToken record.Offset) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.cfg.ChecksFencing {
 		return true
 	}
-	if token < e.token {
+	if fenceToken < e.fenceToken {
 		return false
 	}
-	e.token = token
+	e.fenceToken = fenceToken
 	return true
 }
 
-// load returns when the replica is loaded; a repeat joins the first load.
+// load loads a replica and returns when it is loaded. Concurrent loads of the same replica share
+// the first one.
 func (e *Engine) load(o order) error {
 	r, first, faults := e.reserve(o)
 	if !first {
@@ -183,7 +186,7 @@
 		return r.failed
 	}
 	if faults.FailLoads {
-		r.failed = fmt.Errorf("load of %s failed", o.Model)
+		r.failed = fmt.Errorf("load of model %s failed: injected fault", o.Model)
 	} else {
 		time.Sleep(faults.LoadDelay)
 		r.failed = e.cfg.Fetch(context.Background(), o.MemoryMB)
@@ -220,7 +223,7 @@
 	return r, true, e.faults
 }
 
-// unload refuses while requests run, so that no request is cut.
+// unload fails while the replica is serving requests.
 func (e *Engine) unload(id record.ReplicaID) error {
 	e.mu.Lock()
 	r := e.replicas[id]
@@ -232,14 +235,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.Running > 0 {
-		return fmt.Errorf("replica %s serves %d requests", id, r.Running)
+		return fmt.Errorf("replica %s is still serving %d requests", id, r.Running)
 	}
 	delete(e.replicas, id)
 	return nil
 }
 
-// begin takes a request if its model is loaded.
-func (e *Engine) begin(ctx context.Context, requestID, model string) (context.Context, *replica) {
+// startRequest registers a request with a loaded replica of the model. It returns a nil replica if
+// there is none.
+func (e *Engine) startRequest(ctx context.Context, requestID, model string) (context.Context, *replica) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range e.replicas {
@@ -264,7 +268,7 @@
 	}
 }
 
-func (e *Engine) end(requestID string, r *replica) {
+func (e *Engine) finishRequest(requestID string, r *replica) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if cancel := e.running[requestID]; cancel != nil {
@@ -279,12 +283,12 @@
 	if !readJSON(w, r, &in) {
 		return
 	}
-	ctx, replica := e.begin(r.Context(), in.RequestID, in.Model)
+	ctx, replica := e.startRequest(r.Context(), in.RequestID, in.Model)
 	if replica == nil {
 		http.Error(w, "model is not loaded", http.StatusNotFound)
 		return
 	}
-	defer e.end(in.RequestID, replica)
+	defer e.finishRequest(in.RequestID, replica)
 	e.stream(ctx, w, in)
 }
 
@@ -294,7 +298,7 @@
 	if faults.Cross {
 		id = "another-request"
 	}
-	words := answer(in)
+	words := answerTokens(in)
 	out := json.NewEncoder(w)
 	delay := e.cfg.FirstToken
 	for i := in.ResumeFrom; i < len(words); i++ {
@@ -313,9 +317,9 @@
 	_ = out.Encode(external.Token{RequestID: id, Index: len(words), Done: true, Reason: "stop"})
 }
 
-// answer is a function of the request alone, so that a stream can be resumed
-// on another replica.
-func answer(in external.GenerateRequest) []string {
+// answerTokens returns the tokens of the answer. They depend only on the request, so that a stream
+// can be resumed on another replica.
+func answerTokens(in external.GenerateRequest) []string {
 	words := strings.Fields(fmt.Sprintf("%s answers: %s", in.Model, in.Prompt))
 	for i := range words[1:] {
 		words[i+1] = " " + words[i+1]
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for the outside systems: the log, the
-// model engine, the weight store, the list of hosts and a plain service. They
-// serve the development mode and the tests, and can be told to fail.
+// Package standin implements in-memory stand-ins for the external systems: the log, the model
+// engine, the weight store, the host list and a plain service. Development mode and tests use
+// them. Faults can be injected.
 package standin
 
 import (
@@ -18,38 +18,38 @@
 
 const maxBodyBytes = 4 << 20
 
-// LogFaults tells a log how to fail.
+// LogFaults configures the faults of a Log.
 type LogFaults struct {
-	// Down refuses every call.
+	// Down rejects every call.
 	Down bool `json:"down"`
-	// LoseAnswers takes that many appends and closes the connection instead of
-	// answering.
+	// LoseAnswers is the number of appends that are carried out without a response. The connection
+	// is closed instead.
 	LoseAnswers int `json:"lose_answers"`
-	// Delay slows each append.
+	// Delay is added to each append.
 	Delay time.Duration `json:"delay"`
 }
 
-// Log is an append-only log with one stream, kept in memory.
+// Log is an in-memory append-only log with one stream. It is safe for concurrent use.
 type Log struct {
-	mu      sync.Mutex
-	first   record.Offset
-	records [][]byte
-	grown   chan struct{}
-	faults  LogFaults
-	appends int
+	mu       sync.Mutex
+	first    record.Offset
+	records  [][]byte
+	appended chan struct{}
+	faults   LogFaults
+	appends  int
 }
 
 // NewLog returns an empty log.
-func NewLog() *Log { return &Log{first: 1, grown: make(chan struct{})} }
+func NewLog() *Log { return &Log{first: 1, appended: make(chan struct{})} }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the current faults.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Trim drops all records before an offset.
+// Trim drops all records before the given offset.
 func (l *Log) Trim(before record.Offset) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,27 +66,27 @@
 	return l.first + record.Offset(len(l.records)) - 1
 }
 
-// Appends counts the records taken.
+// Appends returns the number of records appended.
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends
 }
 
-// Append adds a record.
+// Append appends a record and returns its offset.
 func (l *Log) Append(data []byte) record.Offset {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = append(l.records, data)
 	l.appends++
-	close(l.grown)
-	l.grown = make(chan struct{})
+	close(l.appended)
+	l.appended = make(chan struct{})
 	return l.first + record.Offset(len(l.records)) - 1
 }
 
-// read returns the records from an offset on, or a channel that is closed
-// when the log has grown.
-func (l *Log) read(from record.Offset, limit int) (entries []external.Entry, first record.Offset, grown <-chan struct{}) {
+// read returns up to limit records, starting at from, and a channel that is closed by the next
+// append. If from has been trimmed, first is the first available offset.
+func (l *Log) read(from record.Offset, limit int) (entries []external.Entry, first record.Offset, appended <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if from < l.first {
@@ -95,16 +95,16 @@
 	for off := from; off < l.first+record.Offset(len(l.records)) && len(entries) < limit; off++ {
 		entries = append(entries, external.Entry{Offset: off, Data: l.records[off-l.first]})
 	}
-	return entries, 0, l.grown
+	return entries, 0, l.appended
 }
 
-// Handler serves the log's protocol and, under /control, its faults.
+// Handler returns a handler for the log protocol and, under /control, for fault injection.
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/streams/{stream}/records", l.serveAppend)
 	mux.HandleFunc("GET /v1/streams/{stream}/records", l.serveRead)
-	mux.HandleFunc("POST /control/log", control(l.SetFaults))
-	mux.HandleFunc("POST /control/log/trim", control(func(in struct{ Before record.Offset }) { l.Trim(in.Before) }))
+	mux.HandleFunc("POST /control/log", controlHandler(l.SetFaults))
+	mux.HandleFunc("POST /control/log/trim", controlHandler(func(in struct{ Before record.Offset }) { l.Trim(in.Before) }))
 	return mux
 }
 
@@ -159,7 +159,7 @@
 			http.Error(w, "log is down", http.StatusServiceUnavailable)
 			return
 		}
-		entries, first, grown := l.read(record.Offset(from), limit)
+		entries, first, appended := l.read(record.Offset(from), limit)
 		if first != 0 {
 			w.WriteHeader(http.StatusGone)
 			writeJSON(w, map[string]record.Offset{"first": first})
@@ -170,7 +170,7 @@
 			return
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-timeout:
 			writeJSON(w, map[string]any{"entries": entries})
 			return
@@ -180,8 +180,8 @@
 	}
 }
 
-// control serves a setter that takes its argument as JSON.
-func control[T any](set func(T)) http.HandlerFunc {
+// controlHandler returns a handler that decodes a JSON request body and passes it to set.
+func controlHandler[T any](set func(T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in T
 		if readJSON(w, r, &in) {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -10,49 +10,49 @@
 	"golang.org/x/time/rate"
 )
 
-// Store is a weight store with a rate limit. More loads at once than its
-// limit share its speed.
+// Store is a weight store with a rate limit. Fetches slow down when more than the permitted number
+// run concurrently. It is safe for concurrent use.
 type Store struct {
-	mu      sync.Mutex
-	limits  external.StoreLimits
-	mbPerS  float64
-	slow    float64
-	limiter *rate.Limiter
-	running int
-	fetches int
+	mu          sync.Mutex
+	limits      external.StoreLimits
+	mbPerSecond float64
+	slowdown    float64
+	limiter     *rate.Limiter
+	running     int
+	fetches     int
 }
 
-// NewStore returns a store; mbPerSecond is the speed of one load.
+// NewStore returns a Store that fetches a checkpoint at mbPerSecond.
 func NewStore(limits external.StoreLimits, mbPerSecond float64) *Store {
 	return &Store{
-		limits:  limits,
-		mbPerS:  mbPerSecond,
-		slow:    1,
-		limiter: rate.NewLimiter(rate.Limit(limits.LoadsPerSecond), max(1, int(limits.LoadsPerSecond))),
+		limits:      limits,
+		mbPerSecond: mbPerSecond,
+		slowdown:    1,
+		limiter:     rate.NewLimiter(rate.Limit(limits.LoadsPerSecond), max(1, int(limits.LoadsPerSecond))),
 	}
 }
 
-// SetSlow makes each load take that many times as long.
+// SetSlow multiplies the duration of each fetch by factor.
 func (s *Store) SetSlow(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = factor
+	s.slowdown = factor
 }
 
-// Fetches counts the checkpoints fetched.
+// Fetches returns the number of fetches started.
 func (s *Store) Fetches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fetches
 }
 
-// Fetch takes as long as loading memoryMB takes.
+// Fetch blocks for the time that a fetch of memoryMB takes, or until ctx ends.
 func (s *Store) Fetch(ctx context.Context, memoryMB int64) error {
 	if err := s.limiter.Wait(ctx); err != nil {
 		return err
 	}
 	select {
-	case <-time.After(s.begin(memoryMB)):
+	case <-time.After(s.startFetch(memoryMB)):
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
@@ -61,22 +61,24 @@
 	return ctx.Err()
 }
 
-func (s *Store) begin(memoryMB int64) time.Duration {
+// startFetch registers a running fetch and returns its duration.
+func (s *Store) startFetch(memoryMB int64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fetches++
 	s.running++
 	share := max(1, float64(s.running)/float64(max(1, s.limits.Concurrent)))
-	seconds := float64(memoryMB) / s.mbPerS * share * s.slow
+	seconds := float64(memoryMB) / s.mbPerSecond * share * s.slowdown
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Handler serves the store's protocol.
+// Handler returns a handler for the weight store protocol and, under /control, for fault
+// injection.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/limits", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.limits) })
 	mux.HandleFunc("POST /v1/fetch", s.serveFetch)
-	mux.HandleFunc("POST /control/store", control(func(in struct{ Slow float64 }) { s.SetSlow(in.Slow) }))
+	mux.HandleFunc("POST /control/store", controlHandler(func(in struct{ Slow float64 }) { s.SetSlow(in.Slow) }))
 	return mux
 }
 
@@ -96,59 +98,59 @@
 	writeJSON(w, in)
 }
 
-// Hosts is the platform's list of hosts. It shows changes after a lag.
+// Hosts is the platform's host list. Changes become visible after a lag. It is safe for concurrent
+// use.
 type Hosts struct {
 	mu      sync.Mutex
 	lag     time.Duration
-	shown   map[string]external.ListedHost
+	visible map[string]external.ListedHost
 	changes []hostChange
 }
 
 type hostChange struct {
-	at   time.Time
-	name string
-	host *external.ListedHost
+	visibleAt time.Time
+	name      string
+	host      *external.ListedHost
 }
 
-// NewHosts returns an empty list whose changes show after lag.
+// NewHosts returns an empty host list with the given lag.
 func NewHosts(lag time.Duration) *Hosts {
-	return &Hosts{lag: lag, shown: map[string]external.ListedHost{}}
+	return &Hosts{lag: lag, visible: map[string]external.ListedHost{}}
 }
 
 // Put adds or replaces a host.
-func (h *Hosts) Put(host external.ListedHost) { h.change(host.Name, &host) }
+func (h *Hosts) Put(host external.ListedHost) { h.addChange(host.Name, &host) }
 
-// Remove removes a host.
-func (h *Hosts) Remove(name string) { h.change(name, nil) }
+func (h *Hosts) Remove(name string) { h.addChange(name, nil) }
 
-func (h *Hosts) change(name string, host *external.ListedHost) {
+func (h *Hosts) addChange(name string, host *external.ListedHost) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.changes = append(h.changes, hostChange{time.Now().Add(h.lag), name, host})
 }
 
-// List returns what the list shows now.
+// List returns the currently visible hosts.
 func (h *Hosts) List() []external.ListedHost {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	for len(h.changes) > 0 && !h.changes[0].at.After(now) {
+	for len(h.changes) > 0 && !h.changes[0].visibleAt.After(now) {
 		c := h.changes[0]
 		h.changes = h.changes[1:]
 		if c.host == nil {
-			delete(h.shown, c.name)
+			delete(h.visible, c.name)
 		} else {
-			h.shown[c.name] = *c.host
+			h.visible[c.name] = *c.host
 		}
 	}
 	list := []external.ListedHost{}
-	for _, host := range h.shown {
+	for _, host := range h.visible {
 		list = append(list, host)
 	}
 	return list
 }
 
-// Handler serves the list; hosts register with PUT and leave with DELETE.
+// Handler returns a handler for the host list. Hosts register with PUT and deregister with DELETE.
 func (h *Hosts) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/hosts", func(w http.ResponseWriter, _ *http.Request) {
