--- a/internal/standin/site/config.go
+++ b/internal/standin/site/config.go
@@ -2,18 +2,18 @@
 
 import "encoding/json"
 
-// Hint tells how to ask a development host on the stand-in.
+// Hint describes the requests that the development configuration accepts.
 const Hint = "Host: dev.example, path /summary/, X-Key: " + DevKey + ", X-Request-Attempt-Id: any, X-Model-Name: warm, rare or idle\n"
 
-// DevKey is the key of the account of a development host.
+// DevKey is the API key of the client account in the development configuration.
 const DevKey = "dev-key"
 
-// Route is a route of the operator's configuration.
+// Route is a route in the operator's configuration.
 type Route struct {
 	Name       string `json:"name"`
 	Host       string `json:"host"`
 	PathPrefix string `json:"path-prefix"`
-	// Kind is safe, unsafe or streaming.
+	// Kind is "safe", "unsafe" or "streaming".
 	Kind        string `json:"kind"`
 	TimeoutMS   int    `json:"timeout-ms"`
 	ObjectiveMS int    `json:"target-latency-ms"`
@@ -25,20 +25,20 @@
 	Public      bool   `json:"public"`
 }
 
-// Account is a client account of the operator's configuration.
+// Account is a client account in the operator's configuration.
 type Account struct {
 	Name string   `json:"name"`
 	Keys []string `json:"api-keys"`
-	// Unit is requests or tokens.
+	// Unit is "requests" or "tokens".
 	Unit     string  `json:"unit"`
 	Unstated float64 `json:"plain-tokens"`
 	Rate     float64 `json:"rate-per-s"`
 	Burst    float64 `json:"burst"`
-	// Priority is that of the routes where it is left out.
+	// Priority overrides the priority of routes. It is optional.
 	Priority *int `json:"priority,omitempty"`
 }
 
-// Engine describes a service whose endpoints run models.
+// Engine describes the endpoints of a service that run models.
 type Engine struct {
 	Slots        int     `json:"slots"`
 	WeightsMB    float64 `json:"weights-mb"`
@@ -47,7 +47,7 @@
 	Models       []Model `json:"models"`
 }
 
-// Service is a service of the operator's configuration.
+// Service is a service in the operator's configuration.
 type Service struct {
 	Name            string  `json:"name"`
 	HealthCheckPath string  `json:"health-check-path"`
@@ -61,11 +61,11 @@
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Limits   Limits    `json:"limits"`
-	// Accounts are left out where callers need no key.
+	// Accounts is empty if callers do not need a key.
 	Accounts []Account `json:"tenants,omitempty"`
 }
 
-// Limits bound what clients may send.
+// Limits bounds requests of clients.
 type Limits struct {
 	MaxHeaderBytes  int `json:"max-header-bytes"`
 	MaxBodyBytes    int `json:"max-body-bytes"`
@@ -73,10 +73,10 @@
 	IdleTimeoutMS   int `json:"idle-timeout-ms"`
 }
 
-// DefaultLimits are limits that no test meets.
+// DefaultLimits are high enough not to affect tests.
 var DefaultLimits = Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000}
 
-// Publish writes a configuration as the operator does.
+// Publish writes a configuration to the store.
 func (s *Store) Publish(c Config) error {
 	value, err := json.Marshal(c)
 	if err != nil {
--- a/internal/standin/site/endpoint.go
+++ b/internal/standin/site/endpoint.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Model is a model of the stand-in's engine.
+// Model describes a model.
 type Model struct {
 	Name      string  `json:"name"`
 	WeightsMB float64 `json:"weights-mb"`
@@ -20,145 +20,150 @@
 	AdapterMB float64 `json:"adapter-mb"`
 }
 
-// Behavior is what an endpoint does with one request, beyond serving it.
+// Behavior configures how an endpoint handles one request. The zero value serves it normally.
 type Behavior struct {
-	// BreakAfter resets the connection after that many events; 0 never does.
+	// BreakAfter resets the connection after that many events. Zero disables the fault.
 	BreakAfter int
-	// Lose runs the request and resets the connection before any answer.
+	// Lose runs the request and resets the connection without a response.
 	Lose bool
-	// Status is answered in place of 200 after a run.
+	// Status replaces the status 200 after the request has run. Zero means 200.
 	Status int
-	// Delay passes from the start of a run until anything comes of it.
+	// Delay is added before the response.
 	Delay time.Duration
-	// Reject refuses without running.
+	// Reject rejects the request without running it.
 	Reject bool
-	// Pause is stated in a rejection, in seconds, unless it is empty.
+	// Pause is the Retry-After value of a rejection, in seconds. It is optional.
 	Pause string
 }
 
-// EndpointConfig describes one endpoint.
+// EndpointConfig configures an Endpoint.
 type EndpointConfig struct {
 	ID      string
 	Service string
 	Zone    string
 	Slots   int
-	// Born is stated as the start, in Unix milliseconds; 0 states none.
+	// Born is the reported start time in Unix milliseconds. Zero means that none is reported.
 	Born int64
-	// WeightsMB and AdapterSlots are the memory; without models it is a plain service.
+	// WeightsMB and AdapterSlots are the capacity for models and adapters. An endpoint without
+	// Models is a plain service.
 	WeightsMB    float64
 	AdapterSlots int
 	Models       []Model
-	// Holds are loaded at the start, OnDisk have a copy there.
+	// Holds lists the models that are loaded initially, and OnDisk those with a copy on disk.
 	Holds  []string
 	OnDisk []string
-	// Events is the number of events of a stream and Pace the pause between them.
+	// Events is the number of events of a stream and Pace the interval between them.
 	Events int
 	Pace   time.Duration
-	// CrashOn is the body of a request that ends the endpoint as soon as it runs.
+	// CrashOn is the body of requests that crash the endpoint.
 	CrashOn string
-	// Behave chooses what happens to a request; nil serves all.
+	// Behave selects the behavior for a request. n is the number of previous runs. If Behave is
+	// nil, all requests are served normally.
 	Behave func(id, model string, n int) Behavior
 }
 
-// Run is one run that truly took place.
+// Run records a request that ran.
 type Run struct {
 	ID, Model, Path, Body string
-	// From is the ID of the last event that the client had.
+	// From is the Last-Event-Id header of the request.
 	From string
-	// Header is what the endpoint got.
+	// Header holds all headers of the request.
 	Header http.Header
 }
 
-// Endpoint is one endpoint.
+// Endpoint is a model engine or plain service. It is safe for concurrent use.
 type Endpoint struct {
 	Addr   string
 	config EndpointConfig
 	store  *Store
 	server *http.Server
 
-	mu       sync.Mutex
-	holds    map[string]map[string]bool
-	copies   map[string]bool
-	loading  string
-	sequence int64
-	fence    int64
-	running  int
-	runs     []Run
-	faults   []string
-	beats    int64
-	draining bool
-	// rate is the request rate that answers state, empty for none.
+	mu            sync.Mutex
+	loaded        map[string]map[string]bool
+	diskCopies    map[string]bool
+	loading       string
+	sequence      int64
+	fence         int64
+	running       int
+	runs          []Run
+	violations    []string
+	entrySequence int64
+	draining      bool
+	// rate is the rate limit sent in the Server-Limit header. It is optional.
 	rate string
-	// leaving makes answers state that the endpoint leaves.
+	// leaving adds the Server-Leaving header to all responses.
 	leaving bool
-	// arrivals are when requests came, calls of hosts among them.
+	// arrivals are the arrival times of all requests, including orders and status queries of
+	// hosts.
 	arrivals []time.Time
 }
 
-// topicEndpoints is the topic of the endpoints' entries.
+// topicEndpoints is the topic of the endpoint entries.
 const topicEndpoints = "keyed.servers"
 
-// StartEndpoint serves an endpoint and enters it into the store.
+// StartEndpoint starts an endpoint and registers it in the store.
 func StartEndpoint(s *Store, c EndpointConfig) (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	e := &Endpoint{Addr: l.Addr().String(), config: c, store: s, holds: map[string]map[string]bool{}, copies: map[string]bool{}}
+	e := &Endpoint{Addr: l.Addr().String(), config: c, store: s, loaded: map[string]map[string]bool{}, diskCopies: map[string]bool{}}
 	for _, m := range c.Holds {
-		e.holds[m] = map[string]bool{}
-		e.copies[m] = true
+		e.loaded[m] = map[string]bool{}
+		e.diskCopies[m] = true
 	}
 	for _, m := range c.OnDisk {
-		e.copies[m] = true
+		e.diskCopies[m] = true
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /order", e.order)
 	mux.HandleFunc("GET /report", e.report)
 	mux.HandleFunc("/", e.serve)
-	e.server = &http.Server{Handler: e.arrive(mux), ReadHeaderTimeout: time.Second}
-	go func() { _ = e.server.Serve(l) }() // It ends with Close.
+	e.server = &http.Server{Handler: e.recordArrival(mux), ReadHeaderTimeout: time.Second}
+	go func() { _ = e.server.Serve(l) }()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.beat()
+	e.publishEntry()
 	return e, nil
 }
 
-// Close ends the endpoint without a word, as a crash does.
+// Close stops the endpoint without deregistering it, like a crash.
 func (e *Endpoint) Close() { _ = e.server.Close() }
 
-// Drain announces that the endpoint leaves; it goes on to serve.
+// Drain announces in the store that the endpoint is leaving. The endpoint continues to serve.
 func (e *Endpoint) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.draining = true
-	e.beat()
+	e.publishEntry()
 }
 
-// StateRate makes all answers state how many requests a second the endpoint takes; an empty text
-// makes them state none.
+// StateRate sets the rate limit, in requests per second, that responses contain. An empty string
+// removes it.
 func (e *Endpoint) StateRate(rate string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.rate = rate
 }
 
-// StateLeaving makes all answers state that the endpoint leaves; its entry does not.
+// StateLeaving makes all responses announce that the endpoint is leaving, without updating its
+// entry in the store.
 func (e *Endpoint) StateLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// Arrivals returns when requests came, orders and questions of hosts among them.
+// Arrivals returns the arrival times of all requests, including orders and status queries of
+// hosts.
 func (e *Endpoint) Arrivals() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.arrivals)
 }
 
-// arrive notes a request and states what all answers state.
-func (e *Endpoint) arrive(next http.Handler) http.Handler {
+// recordArrival wraps a handler to record arrival times and add the common response headers.
+func (e *Endpoint) recordArrival(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
 		e.arrivals = append(e.arrivals, time.Now())
@@ -173,30 +178,31 @@
 	})
 }
 
-// Runs returns what the endpoint has run.
+// Runs returns the requests that ran, in order.
 func (e *Endpoint) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.runs)
 }
 
-// Faults returns what the endpoint was ordered that would crash a real one.
+// Faults returns the orders that exceeded the capacity of the endpoint.
 func (e *Endpoint) Faults() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.faults)
+	return slices.Clone(e.violations)
 }
 
-type wireHeld struct {
+type wireModel struct {
 	Name     string   `json:"name"`
 	Version  int      `json:"version"`
 	Adapters []string `json:"adapters"`
 }
 
-func (e *Endpoint) held() []wireHeld {
-	out := []wireHeld{}
-	for m, adapters := range e.holds {
-		h := wireHeld{Name: m, Version: 1, Adapters: []string{}}
+// loadedModels returns the loaded models and adapters. e.mu must be held.
+func (e *Endpoint) loadedModels() []wireModel {
+	out := []wireModel{}
+	for m, adapters := range e.loaded {
+		h := wireModel{Name: m, Version: 1, Adapters: []string{}}
 		for a := range adapters {
 			h.Adapters = append(h.Adapters, a)
 		}
@@ -205,11 +211,11 @@
 	return out
 }
 
-// beat writes the endpoint's entry; it is locked.
-func (e *Endpoint) beat() {
-	e.beats++
+// publishEntry writes the entry of the endpoint to the store. e.mu must be held.
+func (e *Endpoint) publishEntry() {
+	e.entrySequence++
 	onDisk := []string{}
-	for m := range e.copies {
+	for m := range e.diskCopies {
 		onDisk = append(onDisk, m)
 	}
 	state := "ready"
@@ -223,9 +229,9 @@
 		"version":  "v1",
 		"slots":    e.config.Slots,
 		"state":    state,
-		"models":   e.held(),
+		"models":   e.loadedModels(),
 		"at-hand":  map[string][]string{"in-memory": {}, "on-disk": onDisk},
-		"sequence": e.beats,
+		"sequence": e.entrySequence,
 
 		"cold-remaining-ms": 0,
 	}
@@ -234,7 +240,7 @@
 	}
 	value, err := json.Marshal(entry)
 	if err != nil {
-		panic(err) // The entry holds nothing that cannot be encoded.
+		panic(err)
 	}
 	e.store.Put(topicEndpoints, e.config.ID, value)
 }
@@ -251,7 +257,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	report := map[string]any{
-		"models":   e.held(),
+		"models":   e.loadedModels(),
 		"busy":     e.loading != "",
 		"sequence": e.sequence,
 		"running":  e.running,
@@ -259,5 +265,5 @@
 	if e.config.Born != 0 {
 		report["born"] = e.config.Born
 	}
-	answer(w, http.StatusOK, report)
+	writeJSON(w, http.StatusOK, report)
 }
--- a/internal/standin/site/orders.go
+++ b/internal/standin/site/orders.go
@@ -36,32 +36,33 @@
 	default:
 		e.fence = o.Token
 		e.sequence++
-		w.WriteHeader(e.carryOut(o.Operation == "load", m, o.Adapter))
-		e.beat()
+		w.WriteHeader(e.execute(o.Operation == "load", m, o.Adapter))
+		e.publishEntry()
 	}
 }
 
-// carryOut starts an order; the endpoint is locked.
-func (e *Endpoint) carryOut(load bool, m Model, adapter string) int {
+// execute carries out an order and returns the status of the response. e.mu must be held.
+func (e *Endpoint) execute(load bool, m Model, adapter string) int {
 	switch {
-	case adapter != "" && e.holds[m.Name] == nil:
+	case adapter != "" && e.loaded[m.Name] == nil:
 		return http.StatusMisdirectedRequest
 	case adapter != "" && load:
-		e.holds[m.Name][adapter] = true
+		e.loaded[m.Name][adapter] = true
 	case adapter != "":
-		delete(e.holds[m.Name], adapter)
+		delete(e.loaded[m.Name], adapter)
 	case !load:
-		delete(e.holds, m.Name)
+		delete(e.loaded, m.Name)
 	default:
 		e.load(m)
 	}
-	e.check()
+	e.checkCapacity()
 	return http.StatusAccepted
 }
 
+// load loads a model in the background. e.mu must be held.
 func (e *Endpoint) load(m Model) {
 	seconds := m.LoadS
-	if e.copies[m.Name] {
+	if e.diskCopies[m.Name] {
 		seconds = m.DiskS
 	}
 	e.loading = m.Name
@@ -69,16 +70,17 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.loading = ""
-		e.holds[m.Name] = map[string]bool{}
-		e.copies[m.Name] = true
-		e.beat()
+		e.loaded[m.Name] = map[string]bool{}
+		e.diskCopies[m.Name] = true
+		e.publishEntry()
 	})
 }
 
-// check notes what would crash a real endpoint.
-func (e *Endpoint) check() {
+// checkCapacity records a violation if the loaded models and adapters exceed the capacity of the
+// endpoint. e.mu must be held.
+func (e *Endpoint) checkCapacity() {
 	sum, adapters := 0.0, 0
-	for name, held := range e.holds {
+	for name, held := range e.loaded {
 		m, _ := e.model(name)
 		sum += m.WeightsMB + float64(len(held))*m.AdapterMB
 		adapters += len(held)
@@ -87,9 +89,9 @@
 		sum += m.WeightsMB
 	}
 	if sum > e.config.WeightsMB {
-		e.faults = append(e.faults, fmt.Sprintf("%.0f MB ordered into %.0f", sum, e.config.WeightsMB))
+		e.violations = append(e.violations, fmt.Sprintf("models need %.0f MB, exceeding the capacity of %.0f MB", sum, e.config.WeightsMB))
 	}
 	if adapters > e.config.AdapterSlots {
-		e.faults = append(e.faults, fmt.Sprintf("%d adapters ordered into %d places", adapters, e.config.AdapterSlots))
+		e.violations = append(e.violations, fmt.Sprintf("%d adapters exceed the capacity of %d", adapters, e.config.AdapterSlots))
 	}
 }
--- a/internal/standin/site/requests.go
+++ b/internal/standin/site/requests.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// serve answers a client's request.
+// serve handles a request of a client.
 func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -29,7 +29,7 @@
 		w.WriteHeader(status)
 		return
 	}
-	defer e.done()
+	defer e.finishRequest()
 	select {
 	case <-time.After(b.Delay):
 	case <-r.Context().Done():
@@ -48,13 +48,14 @@
 		return
 	}
 	if e.config.Events == 0 {
-		_, _ = io.WriteString(w, "answer to "+id) // The caller may have gone.
+		_, _ = io.WriteString(w, "answer to "+id)
 		return
 	}
 	e.stream(w, r, b)
 }
 
-// admit decides whether a request runs, and notes it if so.
+// admit records the run of a request and returns its behavior. If the request is rejected, the
+// status is not zero.
 func (e *Endpoint) admit(r *http.Request, id, body string) (Behavior, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,7 +64,7 @@
 	if e.config.Behave != nil {
 		b = e.config.Behave(id, model, len(e.runs))
 	}
-	held := e.holds[model]
+	held := e.loaded[model]
 	switch {
 	case r.Header.Get("X-Expected-Instance") != e.config.ID:
 		return b, http.StatusMisdirectedRequest
@@ -77,21 +78,21 @@
 	return b, 0
 }
 
-func (e *Endpoint) done() {
+func (e *Endpoint) finishRequest() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
 }
 
-// stream sends events with growing IDs, from the one after Last-Event-Id on.
+// stream sends events with ascending IDs, starting after Last-Event-Id.
 func (e *Endpoint) stream(w http.ResponseWriter, r *http.Request, b Behavior) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(w)
-	// Without an ID the stream starts at its first event.
+	// A missing ID starts the stream at its first event.
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	for sent, n := 0, last+1; n <= e.config.Events; n++ {
 		if b.BreakAfter > 0 && sent == b.BreakAfter {
-			// A part of an event goes out before the connection breaks.
+			// Send part of an event before the connection is reset.
 			_, _ = fmt.Fprintf(w, "id: %d\nda", n)
 			_ = control.Flush()
 			panic(http.ErrAbortHandler)
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -1,7 +1,6 @@
-// Package site is a small stand-in for the users' platform in one process: its
-// store, model endpoints and plain services, speaking the published protocol.
-// It can fail on demand and remembers what truly happened, so that tests and a
-// fresh clone need nothing else.
+// Package site implements an in-process stand-in for the platform: its store, model endpoints and
+// plain services, all of which use the platform's published protocol. Faults can be injected, and
+// endpoints record what they ran.
 package site
 
 import (
@@ -19,24 +18,24 @@
 	"time"
 )
 
-// Fault is how the store treats the calls of one listener.
+// Fault determines how a listener of the store handles calls.
 type Fault int
 
-// The faults of the store.
+// Faults of a listener.
 const (
-	// Works answers all calls.
+	// Works handles all calls.
 	Works Fault = iota
-	// Busy refuses all calls; nothing is done.
+	// Busy rejects all calls without executing them.
 	Busy
-	// Silent never answers; nothing is done.
+	// Silent neither executes nor answers calls.
 	Silent
-	// Lossy carries writes out and answers nothing.
+	// Lossy executes writes without answering.
 	Lossy
-	// ReadOnly refuses writes; nothing is done.
+	// ReadOnly rejects writes without executing them.
 	ReadOnly
 )
 
-// record is one record of a keyed topic.
+// record is a record of a keyed topic.
 type record struct {
 	key    string
 	value  []byte
@@ -45,14 +44,14 @@
 
 // topic is a keyed topic with one partition.
 type topic struct {
-	records []record
-	first   int64
-	end     int64
-	newest  map[string]record
-	grown   chan struct{}
+	records  []record
+	first    int64
+	end      int64
+	newest   map[string]record
+	appended chan struct{}
 }
 
-// Store is the platform's store.
+// Store is the platform's store. It is safe for concurrent use.
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*topic
@@ -61,49 +60,49 @@
 // NewStore returns an empty store.
 func NewStore() *Store { return &Store{topics: map[string]*topic{}} }
 
-// Door is a listener of the store with a fault of its own.
+// Door is a listener of the store with its own fault.
 type Door struct {
 	Addr   string
 	server *http.Server
 
 	mu    sync.Mutex
 	fault Fault
-	// silences counts how often the listener fell silent.
-	silences int
-	// calls counts the calls, by topic.
+	// silenceCount counts the changes to Silent.
+	silenceCount int
+	// calls counts calls by topic.
 	calls map[string]int
 }
 
-// Listen opens a listener on a free port of the loopback address.
+// Listen opens a listener on a free loopback port.
 func (s *Store) Listen() (*Door, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	d := &Door{Addr: l.Addr().String(), calls: map[string]int{}}
-	d.server = &http.Server{Handler: d.guard(s.handler()), ReadHeaderTimeout: time.Second}
-	go func() { _ = d.server.Serve(l) }() // It ends with Close.
+	d.server = &http.Server{Handler: d.injectFaults(s.handler()), ReadHeaderTimeout: time.Second}
+	go func() { _ = d.server.Serve(l) }()
 	return d, nil
 }
 
-// Set changes how calls are treated from now on.
+// Set changes the fault for subsequent calls.
 func (d *Door) Set(f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = f
 	if f == Silent {
-		d.silences++
+		d.silenceCount++
 	}
 }
 
-// state returns the fault and how often the listener fell silent.
-func (d *Door) state() (Fault, int) {
+// faultState returns the current fault and the number of changes to Silent.
+func (d *Door) faultState() (Fault, int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fault, d.silences
+	return d.fault, d.silenceCount
 }
 
-// Calls returns how many calls came, by topic.
+// Calls returns the number of calls by topic.
 func (d *Door) Calls() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,13 +115,14 @@
 	d.calls[topic]++
 }
 
-// Close ends the listener and its connections.
+// Close closes the listener and its connections.
 func (d *Door) Close() { _ = d.server.Close() }
 
-func (d *Door) guard(next http.Handler) http.Handler {
+// injectFaults wraps a handler to apply the current fault.
+func (d *Door) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.count(r.URL.Query().Get("topic"))
-		fault, before := d.state()
+		fault, before := d.faultState()
 		if fault == ReadOnly && r.Method == http.MethodPost {
 			fault = Busy
 		}
@@ -135,36 +135,35 @@
 			return
 		case Lossy:
 			if r.Method == http.MethodPost {
-				next.ServeHTTP(discard{}, r)
+				next.ServeHTTP(discardResponse{}, r)
 				<-r.Context().Done()
 				return
 			}
 		}
-		// Calls that are under way when the listener falls silent get no answer
-		// either, also when it is back.
+		// Calls in progress when the listener changes to Silent are never answered.
 		answer := httptest.NewRecorder()
 		next.ServeHTTP(answer, r)
-		if _, after := d.state(); after != before {
+		if _, after := d.faultState(); after != before {
 			<-r.Context().Done()
 			return
 		}
 		maps.Copy(w.Header(), answer.Header())
 		w.WriteHeader(answer.Code)
-		_, _ = w.Write(answer.Body.Bytes()) // The caller may have gone.
+		_, _ = w.Write(answer.Body.Bytes())
 	})
 }
 
-// discard drops an answer.
-type discard struct{}
+// discardResponse is an http.ResponseWriter that discards the response.
+type discardResponse struct{}
 
 // Header implements http.ResponseWriter.
-func (discard) Header() http.Header { return http.Header{} }
+func (discardResponse) Header() http.Header { return http.Header{} }
 
 // Write implements http.ResponseWriter.
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
+func (discardResponse) Write(p []byte) (int, error) { return len(p), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (discard) WriteHeader(int) {}
+func (discardResponse) WriteHeader(int) {}
 
 func (s *Store) handler() http.Handler {
 	mux := http.NewServeMux()
@@ -174,18 +173,17 @@
 	return mux
 }
 
-// topic returns a topic by name; the store is locked.
+// topic returns a topic and creates it if necessary. s.mu must be held.
 func (s *Store) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
-		t = &topic{newest: map[string]record{}, grown: make(chan struct{})}
+		t = &topic{newest: map[string]record{}, appended: make(chan struct{})}
 		s.topics[name] = t
 	}
 	return t
 }
 
-// Put appends a record to a keyed topic and returns its offset. An empty value
-// drops the key.
+// Put appends a record to a keyed topic and returns its offset. An empty value deletes the key.
 func (s *Store) Put(name, key string, value []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,19 +199,19 @@
 	} else {
 		t.newest[key] = r
 	}
-	close(t.grown)
-	t.grown = make(chan struct{})
+	close(t.appended)
+	t.appended = make(chan struct{})
 	return r.offset
 }
 
-// Size is the number of keys of a topic.
+// Size returns the number of keys in a topic.
 func (s *Store) Size(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.topic(name).newest)
 }
 
-// Compact drops the history of a topic; the newest records stay.
+// Compact drops the history of a topic. The newest record of each key remains.
 func (s *Store) Compact(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,48 +220,48 @@
 	t.first = t.end
 }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // The caller may have gone.
+	_ = json.NewEncoder(w).Encode(v)
 }
 
 func (s *Store) append(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	const header = 5
 	if err != nil || len(body) < header || len(body) < header+int(body[4]) {
-		answer(w, http.StatusBadRequest, map[string]string{"error": "one keyed record is expected"})
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": "one keyed record is expected"})
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(r.URL.Query().Get("topic"))
 	if at := r.URL.Query().Get("at"); at != "" && at != strconv.FormatInt(t.end, 10) {
-		answer(w, http.StatusPreconditionFailed, map[string]int64{"end": t.end})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]int64{"end": t.end})
 		return
 	}
 	n := int(body[4])
 	offset := t.put(string(body[header:header+n]), body[header+n:])
-	answer(w, http.StatusOK, map[string]int64{"offset": offset, "end": t.end})
+	writeJSON(w, http.StatusOK, map[string]int64{"offset": offset, "end": t.end})
 }
 
 func (s *Store) read(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		answer(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
+		writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 		return
 	}
-	// A wait that is missing or no number is none.
+	// A missing or invalid wait-ms means no wait.
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait-ms"))
 	s.mu.Lock()
 	t := s.topic(r.URL.Query().Get("topic"))
 	if t.end <= from && ms > 0 {
-		grown := t.grown
+		appended := t.appended
 		s.mu.Unlock()
 		timer := time.NewTimer(time.Duration(ms) * time.Millisecond)
 		defer timer.Stop()
 		select {
-		case <-grown:
+		case <-appended:
 		case <-timer.C:
 		case <-r.Context().Done():
 			return
@@ -272,10 +270,10 @@
 	}
 	defer s.mu.Unlock()
 	if from < t.first {
-		answer(w, http.StatusGone, map[string]int64{"first": t.first})
+		writeJSON(w, http.StatusGone, map[string]int64{"first": t.first})
 		return
 	}
-	_, _ = w.Write(t.encode(from)) // The caller may have gone.
+	_, _ = w.Write(t.encode(from))
 }
 
 func (t *topic) encode(from int64) []byte {
@@ -303,8 +301,8 @@
 	defer s.mu.Unlock()
 	t := s.topic(r.URL.Query().Get("topic"))
 	items := []item{}
-	for _, x := range t.newest {
-		items = append(items, item{x.key, base64.StdEncoding.EncodeToString(x.value), x.offset})
+	for _, rec := range t.newest {
+		items = append(items, item{rec.key, base64.StdEncoding.EncodeToString(rec.value), rec.offset})
 	}
-	answer(w, http.StatusOK, map[string]any{"items": items, "more": false, "end": t.end})
+	writeJSON(w, http.StatusOK, map[string]any{"items": items, "more": false, "end": t.end})
 }
