--- a/test/process/bench_test.go
+++ b/test/process/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/tealvane/tealvane/internal/api/operators"
 )
 
-// firstToken returns the time until the first token of a stream came.
-func firstToken(b *testing.B, url, body string) time.Duration {
+// timeToFirstToken sends a streaming request and returns the time until its first line.
+func timeToFirstToken(b *testing.B, url, body string) time.Duration {
 	b.Helper()
 	start := time.Now()
 	r, err := http.NewRequest(http.MethodPost, url, bytes.NewReader([]byte(body)))
@@ -51,11 +51,11 @@
 	b.ReportMetric(at(0.99), name+"-p99-ms")
 }
 
-// BenchmarkFirstTokenWarm compares the first token through an entry host with
-// the engine's own; the difference is what the entry host adds.
+// BenchmarkFirstTokenWarm measures the time to first token through an entry host and directly at
+// the engine. The difference is the overhead of the entry host.
 func BenchmarkFirstTokenWarm(b *testing.B) {
 	c := newCluster(b, 3)
-	if r := c.entries[0].complete("summary", "x"); r.status != http.StatusOK {
+	if r := c.entryHosts[0].complete("summary", "x"); r.status != http.StatusOK {
 		b.Fatal(r)
 	}
 	engine := ""
@@ -64,21 +64,20 @@
 			engine = c.endpoints[name]
 		}
 	}
-	var through, direct []time.Duration
+	var viaHost, direct []time.Duration
 	b.ResetTimer()
 	for i := range b.N {
-		e := c.entries[i%len(c.entries)]
-		through = append(through, firstToken(b, e.callers+"/v1/completions", `{"model":"summary","prompt":"x","stream":true}`))
-		direct = append(direct, firstToken(b, engine+"/v1/generate", fmt.Sprintf(`{"request_id":"r%d","model":"summary","prompt":"x"}`, i)))
+		e := c.entryHosts[i%len(c.entryHosts)]
+		viaHost = append(viaHost, timeToFirstToken(b, e.callers+"/v1/completions", `{"model":"summary","prompt":"x","stream":true}`))
+		direct = append(direct, timeToFirstToken(b, engine+"/v1/generate", fmt.Sprintf(`{"request_id":"r%d","model":"summary","prompt":"x"}`, i)))
 	}
-	reportQuantiles(b, "through", through)
+	reportQuantiles(b, "through", viaHost)
 	reportQuantiles(b, "engine", direct)
 }
 
 const coldModels = 100
 
-// BenchmarkFirstTokenCold wakes a model for each request; the stand-in's load
-// takes 12.5 ms for 1,000 MB.
+// BenchmarkFirstTokenCold measures the time to first token of models that are not loaded.
 func BenchmarkFirstTokenCold(b *testing.B) {
 	c := newCluster(b, 3)
 	document, err := examples.Dev.ReadFile("dev/contract.yaml")
@@ -89,19 +88,19 @@
 	for i := range coldModels {
 		fmt.Fprintf(&models, "  - {name: m%d, pool: engines, class: interactive, weights_mb: 1000, load_estimate: 1s, keep_alive: 0s}\n", i)
 	}
-	c.publish(c.entries[0], 1, string(document)+models.String())
+	c.publish(c.entryHosts[0], 1, string(document)+models.String())
 	var cold []time.Duration
 	b.ResetTimer()
 	for i := range b.N {
-		e := c.entries[i%len(c.entries)]
+		e := c.entryHosts[i%len(c.entryHosts)]
 		body := fmt.Sprintf(`{"model":"m%d","prompt":"x","stream":true}`, i%coldModels)
-		cold = append(cold, firstToken(b, e.callers+"/v1/completions", body))
+		cold = append(cold, timeToFirstToken(b, e.callers+"/v1/completions", body))
 	}
 	reportQuantiles(b, "cold", cold)
 }
 
-// BenchmarkContractInForce measures the time from the publication of a
-// contract until the last of nine hosts shows it.
+// BenchmarkContractInForce measures the time from the publication of a contract until it is in
+// force at all hosts.
 func BenchmarkContractInForce(b *testing.B) {
 	c := newCluster(b, 9)
 	document := c.contract()
@@ -110,17 +109,17 @@
 	for i := range b.N {
 		base := int64(i + 1)
 		start := time.Now()
-		c.publish(c.entries[i%len(c.entries)], base, document)
-		for _, e := range c.entries {
-			c.shows(e, base+1)
+		c.publish(c.entryHosts[i%len(c.entryHosts)], base, document)
+		for _, e := range c.entryHosts {
+			c.waitForVersion(e, base+1)
 		}
 		times = append(times, time.Since(start))
 	}
 	reportQuantiles(b, "in-force", times)
 }
 
-// shows waits, without a pause, until a host shows a version of the contract.
-func (c *cluster) shows(e *entry, version int64) {
+// waitForVersion polls a host, without a pause, until the contract has reached a version.
+func (c *cluster) waitForVersion(e *entryHost, version int64) {
 	for {
 		out, err := e.operators.GetContract(context.Background(), operators.GetContractParams{Customer: "example"})
 		if err == nil && out.Version >= version {
@@ -129,16 +128,15 @@
 	}
 }
 
-// BenchmarkTakeover measures the time from the end of a pool's owner until
-// another host owns the pool: after a kill, and after a planned stop, in which
-// the pool is handed over and is never without an owner.
+// BenchmarkTakeover measures the time from a signal to a pool's owner until another host owns the
+// pool: after a crash, and after a graceful shutdown with a handover.
 func BenchmarkTakeover(b *testing.B) {
 	for name, signal := range map[string]syscall.Signal{"kill": syscall.SIGKILL, "planned": syscall.SIGTERM} {
 		b.Run(name, func(b *testing.B) {
 			var times []time.Duration
 			for range b.N {
 				c := newCluster(b, 3)
-				owner := c.owner(c.entries[0])
+				owner := c.owner(c.entryHosts[0])
 				other := c.others(owner)[0]
 				start := time.Now()
 				owner.signal(signal)
--- a/test/process/cluster_test.go
+++ b/test/process/cluster_test.go
@@ -18,16 +18,14 @@
 	"time"
 
 	"github.com/tealvane/tealvane/examples"
-	// The commands are built by the tests; without this import the test cache
-	// would not see that they have changed.
 	"github.com/tealvane/tealvane/internal/api/operators"
+	// The tests build the commands. This import invalidates cached test results when they change.
 	_ "github.com/tealvane/tealvane/internal/cli"
 	"github.com/tealvane/tealvane/pkg/peer"
 )
 
-// waitLimit bounds each wait for an event. It is far above what any of them
-// takes, so that a slow machine changes no verdict.
-const waitLimit = 60 * time.Second
+// waitTimeout bounds each wait for an event. It is generous, so that tests pass on slow machines.
+const waitTimeout = 60 * time.Second
 
 var build struct {
 	once sync.Once
@@ -35,8 +33,8 @@
 	err  error
 }
 
-// binaries builds the commands once for all tests of the package.
-func binaries(t testing.TB) string {
+// buildCommands builds the commands once per test run and returns the output directory.
+func buildCommands(t testing.TB) string {
 	build.once.Do(func() {
 		build.dir, build.err = os.MkdirTemp("", "tealvane")
 		if build.err != nil {
@@ -59,7 +57,7 @@
 	os.Exit(code)
 }
 
-// process is one started program; its output is read line by line.
+// process is a running command whose output is read by line.
 type process struct {
 	t     testing.TB
 	cmd   *exec.Cmd
@@ -67,11 +65,12 @@
 	done  chan struct{}
 }
 
-func start(t testing.TB, name string, args ...string) *process {
+// startProcess starts a command. The process is killed at the end of the test.
+func startProcess(t testing.TB, name string, args ...string) *process {
 	t.Helper()
 	p := &process{
 		t:     t,
-		cmd:   exec.Command(filepath.Join(binaries(t), name), args...),
+		cmd:   exec.Command(filepath.Join(buildCommands(t), name), args...),
 		lines: make(chan string, 1000),
 		done:  make(chan struct{}),
 	}
@@ -104,10 +103,10 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// line returns the first line of output that holds a text.
-func (p *process) line(text string) string {
+// waitForLine returns the next line of output that contains text.
+func (p *process) waitForLine(text string) string {
 	p.t.Helper()
-	timeout := time.After(waitLimit)
+	timeout := time.After(waitTimeout)
 	for {
 		select {
 		case l := <-p.lines:
@@ -115,40 +114,41 @@
 				return l
 			}
 		case <-timeout:
-			p.t.Fatalf("no line with %q from %s", text, p.cmd.Args)
+			p.t.Fatalf("timed out waiting for output %q of %s", text, p.cmd.Args)
 		}
 	}
 }
 
-// exited waits for the end of the process and returns its exit code.
-func (p *process) exited() int {
+// waitForExit waits for the process to exit and returns its exit code.
+func (p *process) waitForExit() int {
 	p.t.Helper()
 	select {
 	case <-p.done:
-	case <-time.After(waitLimit):
-		p.t.Fatalf("%s did not end", p.cmd.Args)
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("timed out waiting for %s to exit", p.cmd.Args)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// entry is one entry host.
-type entry struct {
+// entryHost is an entry host that runs as a process.
+type entryHost struct {
 	*process
 	name      string
 	callers   string
 	operators *operators.Client
 }
 
+// cluster is a set of stand-ins and entry hosts, each running as a process.
 type cluster struct {
-	t         testing.TB
-	platform  string
-	endpoints map[string]string
-	procs     map[string]*process
-	entries   []*entry
-	dir       string
+	t          testing.TB
+	platform   string
+	endpoints  map[string]string
+	processes  map[string]*process
+	entryHosts []*entryHost
+	dir        string
 }
 
-const standins = `
+const standinConfig = `
 platform: {listen: 127.0.0.1:0, loads_per_second: 50, concurrent: 4, mb_per_second: 80000}
 entry_hosts:
   - {name: entry-1}
@@ -162,14 +162,14 @@
   - {name: lookup-1, listen: 127.0.0.1:0, availability_zone: zone-2, service: lookup}
 `
 
-// newCluster starts the stand-ins and entry hosts, each as a process, and
-// publishes the example contract.
+// newCluster starts a cluster, publishes the example contract and waits until the pool has an
+// owner that knows all endpoints.
 func newCluster(t testing.TB, hosts int) *cluster {
 	t.Helper()
-	c := &cluster{t: t, endpoints: map[string]string{}, procs: map[string]*process{}, dir: t.TempDir()}
-	c.write("standins.yaml", standins)
-	platform := start(t, "tealvane-standin", "-config", c.path("standins.yaml"), "-only", "platform")
-	c.platform = strings.Fields(platform.line("platform http"))[1]
+	c := &cluster{t: t, endpoints: map[string]string{}, processes: map[string]*process{}, dir: t.TempDir()}
+	c.write("standins.yaml", standinConfig)
+	platform := startProcess(t, "tealvane-standin", "-config", c.path("standins.yaml"), "-only", "platform")
+	c.platform = strings.Fields(platform.waitForLine("platform http"))[1]
 	for _, name := range []string{"engine-1", "engine-2", "engine-3", "screening-1", "lookup-1"} {
 		c.startEndpoint(name)
 	}
@@ -181,17 +181,17 @@
 	c.write("cert.pem", string(id.Cert))
 	c.write("key.pem", string(id.Key))
 	for i := range hosts {
-		c.entries = append(c.entries, c.startEntry(i+1))
+		c.entryHosts = append(c.entryHosts, c.startEntryHost(i+1))
 	}
-	for _, e := range c.entries {
-		c.until("readiness", func() bool {
+	for _, e := range c.entryHosts {
+		c.waitUntil("readiness", func() bool {
 			_, err := e.operators.GetReadiness(context.Background())
 			return err == nil
 		})
 	}
-	c.publish(c.entries[0], 0, c.contract())
-	c.until("owned pool with endpoints", func() bool {
-		s, err := c.entries[0].operators.GetStatus(context.Background())
+	c.publish(c.entryHosts[0], 0, c.contract())
+	c.waitUntil("owned pool with endpoints", func() bool {
+		s, err := c.entryHosts[0].operators.GetStatus(context.Background())
 		return err == nil && len(s.Pools) == 1 && len(s.Pools[0].Endpoints) == 3
 	})
 	return c
@@ -207,12 +207,12 @@
 }
 
 func (c *cluster) startEndpoint(name string) {
-	p := start(c.t, "tealvane-standin", "-config", c.path("standins.yaml"), "-only", name, "-platform", c.platform)
-	c.endpoints[name] = strings.Fields(p.line("endpoint " + name))[2]
-	c.procs[name] = p
+	p := startProcess(c.t, "tealvane-standin", "-config", c.path("standins.yaml"), "-only", name, "-platform", c.platform)
+	c.endpoints[name] = strings.Fields(p.waitForLine("endpoint " + name))[2]
+	c.processes[name] = p
 }
 
-func (c *cluster) startEntry(i int) *entry {
+func (c *cluster) startEntryHost(i int) *entryHost {
 	name := fmt.Sprintf("entry-%d", i)
 	file := name + ".yaml"
 	c.write(file, fmt.Sprintf(`
@@ -225,22 +225,22 @@
 weight_store: {concurrent: 4, per_second: 50}
 timing: {readiness_lag: 100ms, session_renew: 200ms, session_ttl: 2s, tick: 20ms, probe: 100ms, host_list_poll: 100ms, drain_timeout: 60s}
 `, name, 1+i%2, c.dir, c.platform))
-	p := start(c.t, "tealvaned", "-config", c.path(file))
+	p := startProcess(c.t, "tealvaned", "-config", c.path(file))
 	var serving struct{ Callers, Operators string }
-	if err := json.Unmarshal([]byte(p.line(`"serving"`)), &serving); err != nil {
+	if err := json.Unmarshal([]byte(p.waitForLine(`"serving"`)), &serving); err != nil {
 		c.t.Fatal(err)
 	}
-	client, err := operators.NewClient("http://"+serving.Operators, loopback{})
+	client, err := operators.NewClient("http://"+serving.Operators, anyToken{})
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return &entry{process: p, name: name, callers: "http://" + serving.Callers, operators: client}
+	return &entryHost{process: p, name: name, callers: "http://" + serving.Callers, operators: client}
 }
 
-// loopback is the token source of an interface that needs no token.
-type loopback struct{}
+// anyToken is a token source for an operators' API that does not check tokens.
+type anyToken struct{}
 
-func (loopback) Bearer(context.Context, operators.OperationName) (operators.Bearer, error) {
+func (anyToken) Bearer(context.Context, operators.OperationName) (operators.Bearer, error) {
 	return operators.Bearer{Token: "none"}, nil
 }
 
@@ -252,9 +252,9 @@
 	return string(document)
 }
 
-func (c *cluster) publish(e *entry, base int64, document string) {
+func (c *cluster) publish(e *entryHost, base int64, document string) {
 	c.t.Helper()
-	c.until("publication", func() bool {
+	c.waitUntil("publication", func() bool {
 		_, err := e.operators.PublishContract(context.Background(),
 			&operators.Publication{BaseVersion: base, Document: document},
 			operators.PublishContractParams{Customer: "example"})
@@ -262,60 +262,60 @@
 	})
 }
 
-// until polls for an event that only the system's interfaces show.
-func (c *cluster) until(what string, done func() bool) {
+// waitUntil polls done until it returns true. what names the condition in the failure message.
+func (c *cluster) waitUntil(what string, done func() bool) {
 	c.t.Helper()
-	timeout := time.After(waitLimit)
+	timeout := time.After(waitTimeout)
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
 	for !done() {
 		select {
 		case <-timeout:
-			c.t.Fatalf("no %s", what)
+			c.t.Fatalf("timed out waiting for %s", what)
 		case <-ticker.C:
 		}
 	}
 }
 
-// owner returns the entry host that owns the pool, as one of the others sees it.
-func (c *cluster) owner(asked *entry) *entry {
+// owner returns the owner of the pool according to observer.
+func (c *cluster) owner(observer *entryHost) *entryHost {
 	c.t.Helper()
-	s, err := asked.operators.GetStatus(context.Background())
+	s, err := observer.operators.GetStatus(context.Background())
 	if err != nil || len(s.Pools) == 0 {
-		c.t.Fatalf("status: %v", err)
+		c.t.Fatalf("could not get the owner of the pool: %v", err)
 	}
-	for _, e := range c.entries {
+	for _, e := range c.entryHosts {
 		if e.name == s.Pools[0].Owner {
 			return e
 		}
 	}
-	c.t.Fatalf("unknown owner %q", s.Pools[0].Owner)
+	c.t.Fatalf("pool is owned by unknown host %q", s.Pools[0].Owner)
 	return nil
 }
 
-// others returns the entry hosts but one.
-func (c *cluster) others(than *entry) []*entry {
-	var list []*entry
-	for _, e := range c.entries {
-		if e != than {
+// others returns all entry hosts except one.
+func (c *cluster) others(excluded *entryHost) []*entryHost {
+	var list []*entryHost
+	for _, e := range c.entryHosts {
+		if e != excluded {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// reply is the final answer to one request.
-type reply struct {
+// response is the outcome of an HTTP request.
+type response struct {
 	status int
 	body   string
 	header http.Header
 	err    error
 }
 
-func post(url, key, body string) reply {
+func post(url, key, body string) response {
 	r, err := http.NewRequest(http.MethodPost, url, bytes.NewReader([]byte(body)))
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	r.Header.Set("Authorization", "Bearer dev-token")
 	r.Header.Set("Content-Type", "application/json")
@@ -324,18 +324,18 @@
 	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, body: string(data), header: resp.Header, err: err}
+	return response{status: resp.StatusCode, body: string(data), header: resp.Header, err: err}
 }
 
-func (e *entry) complete(model, prompt string) reply {
+func (e *entryHost) complete(model, prompt string) response {
 	return post(e.callers+"/v1/completions", "", fmt.Sprintf(`{"model":%q,"prompt":%q}`, model, prompt))
 }
 
-// observed returns what an endpoint really did.
+// observed returns the activity that an endpoint recorded.
 func (c *cluster) observed(name string) (o struct {
 	Ran    []string
 	PeakMB int64 `json:"peak_mb"`
