--- a/pkg/completion/answer.go
+++ b/pkg/completion/answer.go
@@ -13,33 +13,34 @@
 	"github.com/tealvane/tealvane/pkg/serve"
 )
 
-// errReaderGone means that nobody reads the answer any more.
-var errReaderGone = errors.New("the reader of the answer has gone")
+// errReaderClosed is returned by tokenSink.Write after the reader has closed the answer.
+var errReaderClosed = errors.New("reader closed the completion before its last token")
 
-// Answer is the answer to a completion as it comes.
+// Answer is a completion that is read token by token. It is not safe for
+// concurrent use.
 type Answer struct {
 	Call    Call
 	Started time.Time
 
-	run    *run
+	state  *callState
 	tokens <-chan external.Token
 	cancel context.CancelFunc
-	// first is the token that came with the start, until it is taken.
+	// first is the token that Start received; nil once Next has returned it.
 	first *external.Token
-	// next is the number of tokens taken.
-	next int
+	// taken is the number of tokens that Next has returned.
+	taken int
 }
 
-// Start begins an answer; it returns when its first token has come.
+// Start sends a completion and blocks until its first token arrives.
 func (r *Runner) Start(ctx context.Context, c Call) (*Answer, *Refusal) {
 	ctx, cancel := context.WithCancel(ctx)
 	tokens := make(chan external.Token)
-	x := &run{runner: r, call: c}
-	a := &Answer{Call: c, Started: r.cfg.Now(), run: x, tokens: tokens, cancel: cancel}
+	st := &callState{runner: r, call: c}
+	a := &Answer{Call: c, Started: r.cfg.Now(), state: st, tokens: tokens, cancel: cancel}
 	r.background.Go(func() {
 		defer close(tokens)
-		r.carry(ctx, x, &tokenSink{ctx: ctx, run: x, started: a.Started, out: tokens})
-		x.settleUnknown()
+		r.execute(ctx, st, &tokenSink{ctx: ctx, state: st, started: a.Started, out: tokens})
+		st.finishUnknown()
 	})
 	first, refusal := a.receive()
 	if refusal != nil {
@@ -55,125 +56,126 @@
 	switch {
 	case ok:
 		return t, nil
-	case a.run.end != nil:
-		return t, a.run.end
+	case a.state.refusal != nil:
+		return t, a.state.refusal
 	default:
 		return t, brokenStream()
 	}
 }
 
-// Next returns the next token; the last one is marked. After a refusal nothing
-// may be shown as the end of the answer.
+// Next returns the next token; Done marks the last one. A refusal means that
+// the completion is incomplete.
 func (a *Answer) Next() (external.Token, *Refusal) {
 	if a.first == nil {
 		t, refusal := a.receive()
 		if refusal == nil {
-			a.next++
+			a.taken++
 		}
 		return t, refusal
 	}
 	t := *a.first
 	a.first = nil
-	a.next++
+	a.taken++
 	return t, nil
 }
 
-// Close gives up the rest of the answer. It does nothing after the end.
+// Close cancels the rest of the completion. It is a no-op after the last token.
 func (a *Answer) Close() { a.cancel() }
 
-// Collect reads the whole answer.
+// Collect reads the completion to its end and closes it.
 func (a *Answer) Collect() (text string, tokens int, reason string, refusal *Refusal) {
 	defer a.Close()
 	var all []byte
 	for {
 		token, refusal := a.Next()
 		if refusal != nil {
-			// Nothing was passed on, so there is no broken stream to speak of.
+			// The caller has received no part of the response yet, so the
+			// broken_stream code does not apply.
 			return "", 0, "", OutcomeUnknown("%s", refusal.Message)
 		}
 		if token.Done {
-			return string(all), max(a.run.tokens, a.next-1), token.Reason, nil
+			return string(all), max(a.state.replayedTokens, a.taken-1), token.Reason, nil
 		}
 		all = append(all, token.Text...)
 	}
 }
 
-// tokenSink hands the tokens of a completion to its reader. It implements serve.Sink.
+// tokenSink decodes the tokens of a completion and sends them to out. It implements serve.Sink.
 type tokenSink struct {
 	ctx     context.Context
-	run     *run
+	state   *callState
 	started time.Time
-	in      tokenReader
+	decoder tokenDecoder
 	out     chan<- external.Token
 }
 
 // Begin implements serve.Sink.
 func (s *tokenSink) Begin(*serve.Answer) {
-	r := s.run.runner
-	if !s.run.recorded {
-		r.cfg.Meter.Answered(s.run.call.Model.Name, s.run.cold, r.cfg.Now().Sub(s.started))
+	r := s.state.runner
+	if !s.state.replayed {
+		r.cfg.Meter.Answered(s.state.call.Model.Name, s.state.coldStart, r.cfg.Now().Sub(s.started))
 	}
 }
 
 // Write implements serve.Sink.
 func (s *tokenSink) Write(p []byte) error {
-	tokens, err := s.in.take(p)
+	tokens, err := s.decoder.decode(p)
 	if err != nil {
 		return err
 	}
 	for _, t := range tokens {
-		s.run.keep(t)
+		s.state.appendText(t)
 		if t.Done {
-			s.run.settleTokens(t)
+			s.state.finishCompletion(t)
 		}
 		select {
 		case s.out <- t:
 		case <-s.ctx.Done():
-			return errReaderGone
+			return errReaderClosed
 		}
 	}
 	return nil
 }
 
 // Abort implements serve.Sink.
-func (s *tokenSink) Abort() { s.run.end = brokenStream() }
+func (s *tokenSink) Abort() { s.state.refusal = brokenStream() }
 
 // Refuse implements serve.Sink.
-func (s *tokenSink) Refuse(r serve.Refusal) { s.run.refused(r) }
+func (s *tokenSink) Refuse(r serve.Refusal) { s.state.refuse(r) }
 
-// refused ends a call without an answer.
-func (x *run) refused(r serve.Refusal) {
-	x.end = refusalOf(r)
+// refuse records why a call has no response.
+func (st *callState) refuse(r serve.Refusal) {
+	st.refusal = convertRefusal(r)
 	if r.NotRun {
-		x.giveBack()
+		st.releaseKey()
 	}
 }
 
-// CallService calls a plain service and returns its answer. A call that is not
-// idempotent is sent at most once, and goes on when its caller has gone, so
-// that a repeat finds the answer.
+// CallService calls a plain service and returns its response. A call that is not
+// idempotent is sent at most once and continues after its caller disconnects, so
+// that a retry finds the recorded response.
 func (r *Runner) CallService(ctx context.Context, c Call) (json.RawMessage, *Refusal) {
 	if c.Key != nil {
 		ctx = context.WithoutCancel(ctx)
 	}
-	x := &run{runner: r, call: c}
-	sink := &bodySink{run: x}
+	st := &callState{runner: r, call: c}
+	sink := &bodySink{state: st}
 	done := make(chan struct{})
 	r.background.Go(func() {
 		defer close(done)
-		if r.carry(ctx, x, sink).Complete {
-			x.settle(record.KeyOutcome{Status: http.StatusOK, Body: sink.body.Bytes()})
+		if r.execute(ctx, st, sink).Complete {
+			st.finishKey(record.KeyOutcome{Status: http.StatusOK, Body: sink.body.Bytes()})
 		}
-		x.settleUnknown()
+		st.finishUnknown()
 	})
 	<-done
-	return sink.body.Bytes(), x.end
+	return sink.body.Bytes(), st.refusal
 }
 
-// bodySink keeps the answer of a plain service. It implements serve.Sink.
+// bodySink buffers the response of a plain service. It implements serve.Sink.
 type bodySink struct {
-	run  *run
-	body bytes.Buffer
+	state *callState
+	body  bytes.Buffer
 }
 
 // Begin implements serve.Sink.
@@ -186,7 +188,7 @@
 }
 
 // Abort implements serve.Sink.
-func (s *bodySink) Abort() { s.run.end = OutcomeUnknown("the endpoint broke its answer off") }
+func (s *bodySink) Abort() { s.state.refusal = OutcomeUnknown("the endpoint broke its answer off") }
 
 // Refuse implements serve.Sink.
-func (s *bodySink) Refuse(r serve.Refusal) { s.run.refused(r) }
+func (s *bodySink) Refuse(r serve.Refusal) { s.state.refuse(r) }
--- a/pkg/completion/backend.go
+++ b/pkg/completion/backend.go
@@ -14,66 +14,67 @@
 	"github.com/tealvane/tealvane/pkg/signals"
 )
 
-// backend speaks to engines and plain services. It implements serve.Backend.
+// backend sends calls to engines and plain services. It implements serve.Backend.
 type backend struct{ runner *Runner }
 
-// Send implements serve.Backend. The idempotency key is claimed before the first
-// send; the answer to a call that was run before is the recorded one.
+// Send implements serve.Backend. It claims the idempotency key before the first
+// send and replays the recorded response of a call that has already run.
 func (b backend) Send(ctx context.Context, r *serve.Request, s serve.Send) (*serve.Answer, error) {
-	x := r.Wire.(*run)
-	outcome, refusal := x.claim(ctx)
+	st := r.Wire.(*callState)
+	outcome, refusal := st.claim(ctx)
 	if refusal != nil {
-		return nil, x.refusal(refusal)
+		return nil, st.keyRefusal(refusal)
 	}
 	if outcome != nil {
-		body, refusal := x.replay(*outcome)
+		body, refusal := st.replay(*outcome)
 		if refusal != nil {
-			return nil, x.refusal(refusal)
+			return nil, st.keyRefusal(refusal)
 		}
-		return answer(body), nil
+		return newAnswer(body), nil
 	}
-	if !x.call.Model.Loadable() {
-		return b.callService(ctx, x, s)
+	if !st.call.Model.Loadable() {
+		return b.callService(ctx, st, s)
 	}
-	return b.generate(ctx, x, s)
+	return b.generate(ctx, st, s)
 }
 
-// refusal returns a refusal of the key as the serving path knows it.
-func (x *run) refusal(r *Refusal) *serve.Refusal {
+// keyRefusal wraps a refusal that concerns the idempotency key for package serve.
+func (st *callState) keyRefusal(r *Refusal) *serve.Refusal {
 	return &serve.Refusal{Cause: causeKey, NotRun: r.NotRun(), RetryAfter: r.RetryAfter, Detail: r}
 }
 
-func answer(body io.ReadCloser) *serve.Answer {
+func newAnswer(body io.ReadCloser) *serve.Answer {
 	return &serve.Answer{Verdict: serve.Answered, Status: http.StatusOK, Body: body}
 }
 
-func (b backend) generate(ctx context.Context, x *run, s serve.Send) (*serve.Answer, error) {
+func (b backend) generate(ctx context.Context, st *callState, s serve.Send) (*serve.Answer, error) {
 	next, err := resumeFrom(s.LastEvent)
 	if err != nil {
 		return nil, errors.Mark(err, serve.ErrNotSent)
 	}
 	stream, err := b.runner.cfg.Engine.Generate(ctx, s.Endpoint.Addr, external.GenerateRequest{
-		RequestID:   x.call.RequestID,
+		RequestID:   st.call.RequestID,
 		Replica:     record.ReplicaID(s.Endpoint.ID),
-		Model:       x.call.Model.Name,
-		Prompt:      x.call.Prompt,
-		MaxTokens:   x.call.MaxTokens,
-		Temperature: x.call.Temperature,
+		Model:       st.call.Model.Name,
+		Prompt:      st.call.Prompt,
+		MaxTokens:   st.call.MaxTokens,
+		Temperature: st.call.Temperature,
 		ResumeFrom:  next,
 	})
 	if err != nil {
-		return unsent(err)
+		return classifyError(err)
 	}
-	cancel := func() { b.cancel(ctx, s.Endpoint.Addr, x.call.RequestID) }
-	return answer(&tokenBody{stream: stream, cancel: cancel}), nil
+	cancel := func() { b.cancel(ctx, s.Endpoint.Addr, st.call.RequestID) }
+	return newAnswer(&tokenBody{stream: stream, cancel: cancel}), nil
 }
 
-// unsent tells apart what an engine has certainly not run.
-func unsent(err error) (*serve.Answer, error) {
-	var rejected *external.PauseError
+// classifyError maps an error of external.Engine to an answer or to the errors
+// of package serve, depending on whether the call may have run.
+func classifyError(err error) (*serve.Answer, error) {
+	var pauseErr *external.PauseError
 	switch {
-	case errors.As(err, &rejected):
-		return &serve.Answer{Verdict: serve.Full, Signals: signals.Answer{Pause: rejected.Pause}, Body: http.NoBody}, nil
+	case errors.As(err, &pauseErr):
+		return &serve.Answer{Verdict: serve.Full, Signals: signals.Answer{Pause: pauseErr.Pause}, Body: http.NoBody}, nil
 	case errors.Is(err, external.ErrNotLoaded):
 		return &serve.Answer{Verdict: serve.NotHeld, Body: http.NoBody}, nil
 	case errors.Is(err, external.ErrRefused):
@@ -85,28 +86,29 @@
 	}
 }
 
-// cancel tells an engine that nobody waits for the rest of a stream.
+// cancel asks an engine to stop generating for a request.
 func (b backend) cancel(ctx context.Context, addr, requestID string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	defer cancel()
 	if err := b.runner.cfg.Engine.Cancel(ctx, addr, requestID); err != nil {
-		b.runner.cfg.Logger.Info("engine was not told to stop", "id", requestID, "endpoint", addr, "error", err.Error())
+		b.runner.cfg.Logger.Info("failed to cancel the request at the engine", "id", requestID, "endpoint", addr, "error", err.Error())
 	}
 }
 
-func (b backend) callService(ctx context.Context, x *run, s serve.Send) (*serve.Answer, error) {
-	got, err := b.runner.cfg.Engine.Call(ctx, s.Endpoint.Addr, external.ServiceCall{
-		RequestID: x.call.RequestID,
-		Service:   x.call.Model.Name,
-		Body:      x.call.Body,
+func (b backend) callService(ctx context.Context, st *callState, s serve.Send) (*serve.Answer, error) {
+	response, err := b.runner.cfg.Engine.Call(ctx, s.Endpoint.Addr, external.ServiceCall{
+		RequestID: st.call.RequestID,
+		Service:   st.call.Model.Name,
+		Body:      st.call.Body,
 	})
 	if err != nil {
-		return unsent(err)
+		return classifyError(err)
 	}
-	return answer(io.NopCloser(bytes.NewReader(got.Body))), nil
+	return newAnswer(io.NopCloser(bytes.NewReader(response.Body))), nil
 }
 
-// Run implements serve.Backend. The engines of this path do not tell of single calls.
+// Run implements serve.Backend. These engines do not report the state of single
+// calls, so the call is taken as held.
 func (b backend) Run(context.Context, *serve.Request, fleet.Endpoint) (serve.Run, error) {
 	return serve.Run{Held: true}, nil
 }
--- a/pkg/completion/call.go
+++ b/pkg/completion/call.go
@@ -1,7 +1,6 @@
-// Package completion carries the calls of the project's own interface through
-// the serving path: it makes typed requests of them, speaks to engines and plain
-// services as the path's backend, keeps idempotency keys, and gives the answer
-// back as tokens.
+// Package completion serves completions and calls of plain services through
+// package serve. It implements the backend that sends them to engines and plain
+// services, claims idempotency keys, and returns completions token by token.
 package completion
 
 import (
@@ -22,13 +21,12 @@
 )
 
 const (
-	// maxAttempts bounds the endpoints on which one call may run.
+	// maxAttempts limits the endpoints to which one call is sent.
 	maxAttempts = 4
-	// cancelTimeout bounds the call that cancels a stream at an engine, a few
-	// round trips to an endpoint that lives.
+	// cancelTimeout limits the call that cancels a stream at an engine.
 	cancelTimeout = time.Second
-	// retryRatio and retryExtra bound second sends of one host: a fifth of the
-	// calls, and some while calls are few, in retryWindow.
+	// retryRatio, retryExtra and retryWindow are the host's retry budget: within
+	// the window, retries are limited to a ratio of the calls plus a fixed number.
 	retryRatio  = 0.2
 	retryExtra  = 20
 	retryWindow = 10 * time.Second
@@ -38,25 +36,25 @@
 type Call struct {
 	Customer string
 	Model    contract.Model
-	// Rank says which calls are refused first when queues grow, higher ones before.
+	// Rank orders load shedding: calls with a higher rank are refused first.
 	Rank      int
 	RequestID string
-	// Key is set for calls that run at most once; Digest tells a repeat of a call
-	// from another call under the same key.
+	// Key is the idempotency key, set for calls that run at most once. Digest
+	// distinguishes a retry of a call from another call with the same key.
 	Key    *record.Key
 	Digest uint64
-	// Deadline is until when the answer has to begin.
+	// Deadline is the time by which the response must start.
 	Deadline time.Time
-	// Prompt, MaxTokens and Temperature are those of a completion.
+	// Prompt, MaxTokens and Temperature are set for completions.
 	Prompt      string
 	MaxTokens   int
 	Temperature float64
-	// Body is that of a call of a plain service.
+	// Body is set for calls of plain services.
 	Body json.RawMessage
 }
 
-// request returns the call as the serving path knows it.
-func (c Call) request(now time.Time, wire *run) *serve.Request {
+// request returns the call as a request of package serve.
+func (c Call) request(now time.Time, state *callState) *serve.Request {
 	r := &serve.Request{
 		ID:             c.RequestID,
 		Fingerprint:    fleet.NewFingerprint(c.Customer, c.Model.Name, c.Prompt, string(c.Body)),
@@ -67,7 +65,7 @@
 		Deadline:       c.Deadline,
 		ClientDeadline: c.Deadline,
 		StartOnly:      true,
-		Wire:           wire,
+		Wire:           state,
 	}
 	if !c.Model.Loadable() {
 		r.Service, r.Model = c.Model.Name, ""
@@ -79,33 +77,35 @@
 	return r
 }
 
-// NewRequestID returns an ID for one call.
+// NewRequestID returns a new version 7 UUID.
 func NewRequestID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Of returns the call of a request that a Runner has made.
-func Of(r *serve.Request) Call { return r.Wire.(*run).call }
+// Of returns the call that r was made from. r must come from a Runner.
+func Of(r *serve.Request) Call { return r.Wire.(*callState).call }
 
-// Keys keeps the idempotency keys of all hosts.
+// Keys is the ledger of idempotency keys that all hosts share.
 type Keys interface {
-	// Claim takes a key. Without an outcome and an error the call may be sent, once.
+	// Claim claims a key. If it returns neither an outcome nor an error, the
+	// caller holds the key and may send the call once.
 	Claim(ctx context.Context, key record.Key, digest uint64) (*record.KeyOutcome, error)
-	// Await waits for news of a key that another attempt holds; it returns false
-	// when no outcome is to be expected.
+	// Await blocks until the state of a key that another attempt holds changes.
+	// It reports whether an outcome may still be recorded.
 	Await(ctx context.Context, key record.Key) bool
-	// Finish records the outcome of a claimed key, Release gives it back.
+	// Finish records the outcome of a claimed key.
 	Finish(o record.KeyOutcome)
+	// Release drops the claim of a call that certainly did not run.
 	Release(key record.Key)
 }
 
-// Meter counts what callers see.
+// Meter records metrics of calls.
 type Meter interface {
-	// Answered is told of the first part of an answer.
+	// Answered records the time until the first part of a response.
 	Answered(model string, cold bool, after time.Duration)
-	// Retried is told of each further send: at the start of an answer or to resume it.
+	// Retried counts a further send: before the response starts, or to resume it.
 	Retried(model, kind string)
 }
 
-// Config is what a Runner needs.
+// Config holds the dependencies of a Runner.
 type Config struct {
 	Engine external.Engine
 	Queue  serve.Queue
@@ -117,19 +117,20 @@
 	Logger *slog.Logger
 	Tracer trace.Tracer
 	Now    func() time.Time
-	// Cold tells whether no replica of a model is loaded.
+	// Cold reports whether no replica of a model is loaded.
 	Cold func(contract.Model) bool
 }
 
-// Runner carries calls. It is safe for concurrent use.
+// Runner serves calls. It is safe for concurrent use.
 type Runner struct {
 	cfg    Config
 	server *serve.Server
-	// background holds calls that are being carried, also when their caller has gone.
+	// background tracks calls in progress, including those whose caller has
+	// disconnected.
 	background sync.WaitGroup
 }
 
-// NewRunner returns a runner without any calls.
+// NewRunner returns a Runner with the given dependencies.
 func NewRunner(cfg Config) *Runner {
 	r := &Runner{cfg: cfg}
 	r.server = &serve.Server{
@@ -144,43 +145,44 @@
 	return r
 }
 
-// Go runs f as a part of the calls that Wait waits for.
+// Go runs f in a goroutine that Wait waits for.
 func (r *Runner) Go(f func()) { r.background.Go(f) }
 
-// Wait returns when no call is being carried.
+// Wait blocks until no call is in progress.
 func (r *Runner) Wait() { r.background.Wait() }
 
-// run is one call on its way.
-type run struct {
-	runner *Runner
-	call   Call
-	cold   bool
-	// claimed tells whether the run holds the call's idempotency key.
+// callState is the state of one call in progress.
+type callState struct {
+	runner    *Runner
+	call      Call
+	coldStart bool
+	// claimed is set while this call holds its idempotency key.
 	claimed bool
-	// recorded tells that the answer is one that was kept, of so many tokens.
-	recorded bool
-	tokens   int
-	// kept is the text of an answer that is recorded for repeats.
-	kept []byte
-	// end is why the answer is not whole.
-	end *Refusal
+	// replayed is set when the response is a recorded one; replayedTokens is its
+	// number of tokens.
+	replayed       bool
+	replayedTokens int
+	// recordedText collects the text that is recorded for retries.
+	recordedText []byte
+	// refusal says why the response is missing or incomplete.
+	refusal *Refusal
 }
 
-// carry takes a call through the serving path.
-func (r *Runner) carry(ctx context.Context, x *run, sink serve.Sink) serve.Result {
-	x.cold = r.cfg.Cold(x.call.Model)
-	result := r.server.Serve(ctx, x.call.request(r.cfg.Now(), x), sink)
-	r.note(x, result)
+// execute sends a call through package serve, then records its metrics and log line.
+func (r *Runner) execute(ctx context.Context, st *callState, sink serve.Sink) serve.Result {
+	st.coldStart = r.cfg.Cold(st.call.Model)
+	result := r.server.Serve(ctx, st.call.request(r.cfg.Now(), st), sink)
+	r.report(st, result)
 	return result
 }
 
-func (r *Runner) note(x *run, result serve.Result) {
-	name := x.call.Model.Name
+func (r *Runner) report(st *callState, result serve.Result) {
+	name := st.call.Model.Name
 	for range result.Resumed {
 		r.cfg.Meter.Retried(name, "resume")
 	}
 	for range result.Sent - 1 - result.Resumed {
 		r.cfg.Meter.Retried(name, "start")
 	}
-	r.cfg.Logger.Info("request", append(result.LogAttrs(), "customer", x.call.Customer)...)
+	r.cfg.Logger.Info("request", append(result.LogAttrs(), "customer", st.call.Customer)...)
 }
--- a/pkg/completion/deferred.go
+++ b/pkg/completion/deferred.go
@@ -1,16 +1,17 @@
 package completion
 
-// MaxDeferredBytes bounds a deferred request and its answer, which are records.
+// MaxDeferredBytes limits the encoded size of a deferred request and of its
+// response; each is stored as one record.
 const MaxDeferredBytes = 128 << 10
 
-// DeferredBody is the recorded form of a request that is answered later.
+// DeferredBody is the stored form of a deferred request.
 type DeferredBody struct {
 	Prompt      string  `json:"prompt"`
 	MaxTokens   int     `json:"max_tokens,omitempty"`
 	Temperature float64 `json:"temperature,omitempty"`
 }
 
-// DeferredAnswer is the recorded form of its answer.
+// DeferredAnswer is the stored form of the response to a deferred request.
 type DeferredAnswer struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
--- a/pkg/completion/refusal.go
+++ b/pkg/completion/refusal.go
@@ -13,11 +13,11 @@
 // causeKey is the cause of refusals that concern the idempotency key.
 const causeKey serve.Cause = "idempotency_key"
 
-// MinRetryAfter is the least that the Retry-After header can say.
+// MinRetryAfter is the smallest positive value of the Retry-After header.
 const MinRetryAfter = time.Second
 
-// Refusal is the typed answer to a request that is not served. Its code says
-// what is known of the request's execution.
+// Refusal is the error response to a request. Its code states whether the request
+// may have run.
 type Refusal struct {
 	Status     int
 	Code       callers.ErrorDetailCode
@@ -29,7 +29,7 @@
 // Error implements error.
 func (r *Refusal) Error() string { return fmt.Sprintf("%s: %s", r.Code, r.Message) }
 
-// NotRun tells whether the refusal promises that the request did not run.
+// NotRun reports whether the request certainly did not run.
 func (r *Refusal) NotRun() bool { return r.Code == callers.ErrorDetailCodeNotRun }
 
 // NotRun returns a refusal of a request that certainly did not run.
@@ -52,7 +52,7 @@
 	}
 }
 
-// Invalid returns a refusal of a request that would be refused again.
+// Invalid returns a refusal of a request that must not be retried unchanged.
 func Invalid(format string, args ...any) *Refusal {
 	return &Refusal{
 		Status:  http.StatusBadRequest,
@@ -61,8 +61,8 @@
 	}
 }
 
-// brokenStream tells a caller who has seen a part of the answer that the rest
-// will not come.
+// brokenStream returns the refusal of a request whose response broke off after the
+// caller received a part of it.
 func brokenStream() *Refusal {
 	return &Refusal{
 		Status:  http.StatusBadGateway,
@@ -71,17 +71,17 @@
 	}
 }
 
-// refusalOf returns what a caller is told of a refusal of the serving path.
-func refusalOf(r serve.Refusal) *Refusal {
+// convertRefusal converts a refusal of package serve.
+func convertRefusal(r serve.Refusal) *Refusal {
 	var detail *Refusal
 	known := errors.As(r.Detail, &detail)
 	switch {
 	case known && r.NotRun == detail.NotRun():
 		return detail
 	case known:
-		unknown := OutcomeUnknown("an endpoint failed while it ran the request, and then: %s", detail.Message)
-		unknown.RetryAfter = r.RetryAfter
-		return unknown
+		outcomeUnknown := OutcomeUnknown("an endpoint failed while it ran the request, and then: %s", detail.Message)
+		outcomeUnknown.RetryAfter = r.RetryAfter
+		return outcomeUnknown
 	case !r.NotRun && r.Cause == serve.CauseClientGone:
 		return OutcomeUnknown("the caller has gone")
 	case !r.NotRun:
--- a/pkg/completion/tokens.go
+++ b/pkg/completion/tokens.go
@@ -11,9 +11,9 @@
 	"github.com/tealvane/tealvane/pkg/external"
 )
 
-// Tokens travel through the serving path as an event stream: the ID of an event
-// is the token's index, so that the path can resume a stream that broke without
-// knowing what a token is.
+// Tokens pass through package serve as a server-sent event stream. The ID of an
+// event is the token's index, so that serve can resume a broken stream without
+// decoding tokens.
 const (
 	eventID   = "id: "
 	eventData = "\ndata: "
@@ -26,22 +26,22 @@
 		return 0, nil
 	}
 	n, err := strconv.Atoi(lastEvent)
-	return n + 1, errors.Wrap(err, "ID of the last event")
+	return n + 1, errors.Wrap(err, "parse the ID of the last event")
 }
 
 func encodeToken(t external.Token) ([]byte, error) {
 	data, err := json.Marshal(t)
 	if err != nil {
-		return nil, errors.Wrap(err, "token")
+		return nil, errors.Wrap(err, "encode token")
 	}
 	return fmt.Appendf(nil, "%s%d%s%s%s", eventID, t.Index, eventData, data, eventEnd), nil
 }
 
-// tokenBody is a stream of tokens as the body of an answer. It ends with io.EOF
-// after the token that is marked as the last one, and with any other error before.
+// tokenBody encodes a stream of tokens as a response body. Read returns io.EOF
+// only after the token with Done; a stream that breaks earlier returns its error.
 type tokenBody struct {
 	stream external.TokenStream
-	// cancel tells the engine to stop; it is called unless the last token came.
+	// cancel is called by Close unless the last token was read.
 	cancel  func()
 	pending []byte
 	done    bool
@@ -76,11 +76,11 @@
 	return b.stream.Close()
 }
 
-// tokenReader turns bytes of an event stream back into tokens.
-type tokenReader struct{ pending []byte }
+// tokenDecoder decodes tokens from an event stream.
+type tokenDecoder struct{ pending []byte }
 
-// take returns the tokens that are complete with p.
-func (r *tokenReader) take(p []byte) ([]external.Token, error) {
+// decode appends p to the input and returns the tokens that are now complete.
+func (r *tokenDecoder) decode(p []byte) ([]external.Token, error) {
 	r.pending = append(r.pending, p...)
 	var tokens []external.Token
 	for {
@@ -91,7 +91,7 @@
 		_, data, _ := bytes.Cut(event, []byte(eventData))
 		var t external.Token
 		if err := json.Unmarshal(data, &t); err != nil {
-			return nil, errors.Wrap(err, "token")
+			return nil, errors.Wrap(err, "decode token")
 		}
 		tokens = append(tokens, t)
 		r.pending = rest
--- a/pkg/completion/tokens_test.go
+++ b/pkg/completion/tokens_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, 300, 30) }
 
-// fixedStream yields given tokens and then an error.
+// fixedStream returns its tokens and then external.ErrBroken.
 type fixedStream struct {
 	tokens []external.Token
 	closed bool
@@ -37,10 +37,9 @@
 	return nil
 }
 
-// A model writes an empty line, and a reader of its answer gets the rest of the
-// token as if it were another event, or loses it: tokens of any text have to
-// come out as they went in, however the bytes are cut on their way.
-func TestTokensSurviveTheEventStream(t *testing.T) {
+// Guards against tokens that are split or lost when their text contains event
+// separators or the event stream is read in chunks of any size.
+func TestTokenEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want []external.Token
 		for i, text := range rapid.SliceOfN(rapid.String(), 0, 6).Draw(t, "texts") {
@@ -48,12 +47,12 @@
 		}
 		want = append(want, external.Token{RequestID: "r", Index: len(want), Done: true, Reason: "stop"})
 		body := &tokenBody{stream: &fixedStream{tokens: append([]external.Token(nil), want...)}}
-		var in tokenReader
+		var decoder tokenDecoder
 		var got []external.Token
 		for {
 			buf := make([]byte, rapid.IntRange(1, 64).Draw(t, "read"))
 			n, err := body.Read(buf)
-			tokens, decodeErr := in.take(buf[:n])
+			tokens, decodeErr := decoder.decode(buf[:n])
 			if decodeErr != nil {
 				t.Fatal(decodeErr)
 			}
@@ -66,52 +65,52 @@
 			}
 		}
 		if len(got) != len(want) {
-			t.Fatalf("%d tokens, %d were sent", len(got), len(want))
+			t.Fatalf("decoded %d tokens, want %d", len(got), len(want))
 		}
 		for i := range want {
 			if got[i] != want[i] {
-				t.Fatalf("%+v instead of %+v", got[i], want[i])
+				t.Fatalf("token %d is %+v, want %+v", i, got[i], want[i])
 			}
 		}
 	})
 }
 
-// An engine breaks its stream off. The body must not end as if it were whole,
-// and an engine whose answer is given up must be told, once.
-func TestUnfinishedStreamIsNoEnd(t *testing.T) {
+// Guards against a broken engine stream that reads as complete, and against a
+// close that cancels the request at the engine more than once or not at all.
+func TestTokenBodyReturnsErrorOnBrokenStream(t *testing.T) {
 	is := is.New(t)
-	told := make(chan struct{}, 2)
+	canceled := make(chan struct{}, 2)
 	stream := &fixedStream{tokens: []external.Token{{Text: "a"}}}
-	body := &tokenBody{stream: stream, cancel: func() { told <- struct{}{} }}
+	body := &tokenBody{stream: stream, cancel: func() { canceled <- struct{}{} }}
 	_, err := io.ReadAll(body)
 	is.True(errors.Is(err, external.ErrBroken))
 	is.NoErr(body.Close())
 	is.NoErr(body.Close())
-	<-told
+	<-canceled
 	is.True(stream.closed)
-	is.Equal(len(told), 0)
+	is.Equal(len(canceled), 0)
 }
 
-// A caller is told "not run" of a call that an endpoint may have run, and sends
-// it once more: whatever the queue says, the serving path's word counts.
-func TestRefusalsKeepTheirPromise(t *testing.T) {
+// Guards against a "not run" refusal for a call that an endpoint may have run:
+// the NotRun flag of package serve takes precedence over the detail.
+func TestConvertRefusalPreservesNotRun(t *testing.T) {
 	detail := NotRun("log_unavailable", 0, "the log is down")
 	for _, c := range []struct {
 		name   string
 		in     serve.Refusal
 		notRun bool
 	}{
-		{"the queue's", serve.Refusal{Cause: "queue_too_long", NotRun: true}, true},
-		{"the same after a run", serve.Refusal{Cause: "queue_too_long"}, false},
-		{"of the key", serve.Refusal{Cause: causeKey, NotRun: true, Detail: detail}, true},
-		{"of the key after a run", serve.Refusal{Cause: causeKey, Detail: detail}, false},
-		{"another attempt may run", serve.Refusal{Cause: causeKey, Detail: OutcomeUnknown("taken")}, false},
-		{"a broken answer", serve.Refusal{Cause: serve.CauseBroken, Detail: context.Canceled}, false},
-		{"all endpoints rejected it", serve.Refusal{Cause: serve.CauseNoRoom, NotRun: true}, true},
+		{"queue too long", serve.Refusal{Cause: "queue_too_long", NotRun: true}, true},
+		{"queue too long after a run", serve.Refusal{Cause: "queue_too_long"}, false},
+		{"idempotency key", serve.Refusal{Cause: causeKey, NotRun: true, Detail: detail}, true},
+		{"idempotency key after a run", serve.Refusal{Cause: causeKey, Detail: detail}, false},
+		{"key held by another attempt", serve.Refusal{Cause: causeKey, Detail: OutcomeUnknown("taken")}, false},
+		{"broken response", serve.Refusal{Cause: serve.CauseBroken, Detail: context.Canceled}, false},
+		{"rejected by all endpoints", serve.Refusal{Cause: serve.CauseNoRoom, NotRun: true}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			got := refusalOf(c.in)
+			got := convertRefusal(c.in)
 			is.Equal(got.NotRun(), c.notRun)
 			is.True(!got.NotRun() || got.RetryAfter > 0)
 			is.True(got.Message != "")
