--- a/pkg/openai/completions.go
+++ b/pkg/openai/completions.go
@@ -10,8 +10,8 @@
 	"github.com/tealvane/tealvane/pkg/completion"
 )
 
-// generation is what chat and plain completions have in common.
-type generation struct {
+// generateRequest holds the fields that chat and text completions share.
+type generateRequest struct {
 	model       string
 	prompt      string
 	maxTokens   callers.OptInt
@@ -20,9 +20,9 @@
 	deadlineMs  callers.OptInt64
 }
 
-// begin starts the answer to a completion.
-func (d Door) begin(ctx context.Context, in generation) (*completion.Answer, *completion.Refusal) {
-	entry, m, refusal := modelFor(ctx, in.model, false)
+// start validates a completion request and starts it.
+func (d Door) start(ctx context.Context, in generateRequest) (*completion.Answer, *completion.Refusal) {
+	entry, m, refusal := findModel(ctx, in.model, false)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -31,8 +31,8 @@
 		return nil, refusal
 	}
 	if key != nil {
-		// The request goes on when its caller has gone, so that a repeat finds
-		// the answer.
+		// The request continues after its caller disconnects, so that a retry
+		// finds the recorded response.
 		ctx = context.WithoutCancel(ctx)
 	}
 	return d.Runner.Start(ctx, completion.Call{
@@ -49,36 +49,36 @@
 	})
 }
 
-// whole is an answer that was read to its end.
-type whole struct {
+// result is a completion that was read to its end.
+type result struct {
 	id     string
 	text   string
 	tokens int
 	reason string
 }
 
-// streamer turns an answer that has begun into an event stream.
-type streamer func(*completion.Answer) (io.ReadCloser, *completion.Refusal)
+// eventEncoder encodes a started completion as an event stream.
+type eventEncoder func(*completion.Answer) (io.ReadCloser, *completion.Refusal)
 
-// generate carries a completion: it returns an event stream if one is asked for,
-// and the whole answer otherwise.
-func (d Door) generate(ctx context.Context, in generation, stream bool, events streamer) (io.ReadCloser, whole, *completion.Refusal) {
-	ans, refusal := d.begin(ctx, in)
+// generate runs a completion. If stream is set, it returns an event stream that
+// encode produces, and the complete result otherwise.
+func (d Door) generate(ctx context.Context, in generateRequest, stream bool, encode eventEncoder) (io.ReadCloser, result, *completion.Refusal) {
+	answer, refusal := d.start(ctx, in)
 	if refusal != nil {
-		return nil, whole{}, refusal
+		return nil, result{}, refusal
 	}
 	if stream {
-		body, refusal := events(ans)
-		return body, whole{}, refusal
+		body, refusal := encode(answer)
+		return body, result{}, refusal
 	}
-	w := whole{id: ans.Call.RequestID}
-	w.text, w.tokens, w.reason, refusal = ans.Collect()
-	return nil, w, refusal
+	out := result{id: answer.Call.RequestID}
+	out.text, out.tokens, out.reason, refusal = answer.Collect()
+	return nil, out, refusal
 }
 
 // CreateChatCompletion implements callers.Handler.
 func (d Door) CreateChatCompletion(ctx context.Context, req *callers.ChatRequest, params callers.CreateChatCompletionParams) (callers.CreateChatCompletionRes, error) {
-	events, answer, refusal := d.generate(ctx, generation{
+	events, answer, refusal := d.generate(ctx, generateRequest{
 		model:       req.Model,
 		prompt:      chatPrompt(req.Messages),
 		maxTokens:   req.MaxTokens,
@@ -105,7 +105,8 @@
 	}, nil
 }
 
-// chatPrompt joins the messages; engines apply their own chat template.
+// chatPrompt joins the messages into one prompt. Engines apply their own chat
+// template.
 func chatPrompt(messages []callers.ChatMessage) string {
 	parts := make([]string, len(messages))
 	for i, m := range messages {
@@ -116,7 +117,7 @@
 
 // CreateCompletion implements callers.Handler.
 func (d Door) CreateCompletion(ctx context.Context, req *callers.CompletionRequest, params callers.CreateCompletionParams) (callers.CreateCompletionRes, error) {
-	events, answer, refusal := d.generate(ctx, generation{
+	events, answer, refusal := d.generate(ctx, generateRequest{
 		model:       req.Model,
 		prompt:      req.Prompt,
 		maxTokens:   req.MaxTokens,
--- a/pkg/openai/deferred.go
+++ b/pkg/openai/deferred.go
@@ -11,10 +11,10 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// CreateDeferred implements callers.Handler. The request is accepted when its
-// record is in the log; any host may run it then.
+// CreateDeferred implements callers.Handler. The request is accepted once its
+// record is in the log; any host may then run it.
 func (d Door) CreateDeferred(ctx context.Context, req *callers.CompletionRequest) (*callers.Deferred, error) {
-	entry, m, refusal := modelFor(ctx, req.Model, false)
+	entry, m, refusal := findModel(ctx, req.Model, false)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -36,7 +36,7 @@
 		Body:     body,
 	})
 	if err != nil {
-		// It may still be accepted and run, but nobody knows its ID.
+		// The request may have been recorded and may run, but its ID is lost.
 		refusal := completion.OutcomeUnknown("the request could not be recorded: %v", err)
 		refusal.RetryAfter = completion.LogRetryAfter
 		return nil, refusal
@@ -54,16 +54,16 @@
 	if r.Answer == nil {
 		return out, nil
 	}
-	var kept completion.DeferredAnswer
-	if err := json.Unmarshal(r.Answer.Body, &kept); err != nil {
-		return nil, errors.Wrap(err, "recorded answer")
+	var answer completion.DeferredAnswer
+	if err := json.Unmarshal(r.Answer.Body, &answer); err != nil {
+		return nil, errors.Wrap(err, "decode the recorded response")
 	}
 	if r.Answer.Status != http.StatusOK {
 		out.Status = callers.DeferredStatusFailed
-		out.Error.SetTo(callers.ErrorDetail{Code: callers.ErrorDetailCodeOutcomeUnknown, Message: kept.Error})
+		out.Error.SetTo(callers.ErrorDetail{Code: callers.ErrorDetailCodeOutcomeUnknown, Message: answer.Error})
 		return out, nil
 	}
 	out.Status = callers.DeferredStatusDone
-	out.Answer.SetTo(newCompletion(r.ID, r.Model, d.Host.Now(), kept.Text, kept.Tokens, kept.Reason))
+	out.Answer.SetTo(newCompletion(r.ID, r.Model, d.Host.Now(), answer.Text, answer.Tokens, answer.Reason))
 	return out, nil
 }
--- a/pkg/openai/errors.go
+++ b/pkg/openai/errors.go
@@ -12,7 +12,7 @@
 	"github.com/tealvane/tealvane/pkg/completion"
 )
 
-// NewError turns any error into the typed body.
+// NewError implements callers.Handler. It converts any error to the error response.
 func (d Door) NewError(_ context.Context, err error) *callers.ErrorStatusCodeWithHeaders {
 	r := asRefusal(err)
 	out := &callers.ErrorStatusCodeWithHeaders{
@@ -23,7 +23,7 @@
 		out.Response.Error.Reason.SetTo(r.Reason)
 	}
 	if r.RetryAfter > 0 {
-		out.RetryAfter.SetTo(seconds(r.RetryAfter))
+		out.RetryAfter.SetTo(retryAfterSeconds(r.RetryAfter))
 	}
 	return out
 }
@@ -44,8 +44,8 @@
 	return completion.Invalid("%v", err)
 }
 
-// writeError answers requests that the generated code itself refuses, with
-// the same typed body.
+// writeError writes the error response to requests that the generated code rejects
+// before it calls the handler.
 func (d Door) writeError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
 	out := d.NewError(ctx, err)
 	body, _ := out.Response.MarshalJSON()
@@ -78,5 +78,5 @@
 	}
 }
 
-// seconds rounds up, since a caller who comes back early is refused again.
-func seconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
+// retryAfterSeconds rounds up, so that a retry does not arrive too early.
+func retryAfterSeconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
--- a/pkg/openai/events.go
+++ b/pkg/openai/events.go
@@ -9,10 +9,11 @@
 	"github.com/tealvane/tealvane/pkg/external"
 )
 
-// StreamEnd is the last event of a whole answer, and of no other.
+// StreamEnd is the end marker of an event stream. It is sent only after a complete
+// response.
 const StreamEnd = "data: [DONE]\n\n"
 
-// chunk is one event of a stream, in the form that OpenAI clients expect.
+// chunk is one event of a stream in the OpenAI format.
 type chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -46,71 +47,75 @@
 }
 
 type errorEvent struct {
-	// Error is a pointer, because only the pointer knows how to leave out the
-	// fields that are not set; a value fails to encode.
+	// Error is a pointer because only *callers.ErrorDetail implements
+	// json.Marshaler; encoding the value fails on unset optional fields.
 	Error *callers.ErrorDetail `json:"error"`
 }
 
 // Chat returns the event stream of a chat completion.
-func (d Door) Chat(ans *completion.Answer) (io.ReadCloser, *completion.Refusal) {
-	return d.events(ans, chatChunk)
+func (d Door) Chat(answer *completion.Answer) (io.ReadCloser, *completion.Refusal) {
+	return d.eventStream(answer, chatChunk)
 }
 
-// Text returns the event stream of a plain completion.
-func (d Door) Text(ans *completion.Answer) (io.ReadCloser, *completion.Refusal) {
-	return d.events(ans, textChunk)
+// Text returns the event stream of a text completion.
+func (d Door) Text(answer *completion.Answer) (io.ReadCloser, *completion.Refusal) {
+	return d.eventStream(answer, textChunk)
 }
 
-// events turns an answer into an event stream. It returns once the first
-// token has come, so that a failure before it is a plain refusal. A stream
+// eventStream encodes a completion as an event stream. It blocks until the first
+// token arrives, so that an earlier failure is returned as a refusal. A stream
 // that breaks later ends with an error event and without the end marker.
-func (d Door) events(ans *completion.Answer, form func(external.Token) (string, chunkChoice)) (io.ReadCloser, *completion.Refusal) {
-	first, refusal := ans.Next()
+func (d Door) eventStream(answer *completion.Answer, encode func(external.Token) (string, chunkChoice)) (io.ReadCloser, *completion.Refusal) {
+	first, refusal := answer.Next()
 	if refusal != nil {
-		ans.Close()
+		answer.Close()
 		return nil, refusal
 	}
 	reader, writer := io.Pipe()
-	w := &eventWriter{answer: ans, form: form, out: writer}
+	w := &eventWriter{answer: answer, encode: encode, out: writer}
 	d.Runner.Go(func() { w.run(first) })
 	return reader, nil
 }
 
+// eventWriter writes the tokens of a completion to a pipe as events.
 type eventWriter struct {
 	answer *completion.Answer
-	form   func(external.Token) (string, chunkChoice)
+	encode func(external.Token) (string, chunkChoice)
 	out    *io.PipeWriter
-	// gone is set when the caller no longer reads.
-	gone bool
+	// closed is set after a write or encoding fails. Later writes are dropped.
+	closed bool
 }
 
+// run writes all events, beginning with the given token. After the caller
+// disconnects it keeps reading the completion only if the call has an idempotency
+// key, so that the complete response is recorded.
 func (w *eventWriter) run(token external.Token) {
 	defer w.out.Close()
 	defer w.answer.Close()
 	for {
-		w.token(token)
+		w.writeToken(token)
 		if token.Done {
 			w.write(StreamEnd)
 			return
 		}
-		if w.gone && w.answer.Call.Key == nil {
+		if w.closed && w.answer.Call.Key == nil {
 			return
 		}
 		next, refusal := w.answer.Next()
 		if refusal != nil {
-			w.fail(refusal)
+			w.writeError(refusal)
 			return
 		}
 		token = next
 	}
 }
 
-func (w *eventWriter) token(t external.Token) {
-	object, choice := w.form(t)
+func (w *eventWriter) writeToken(t external.Token) {
+	object, choice := w.encode(t)
 	if t.Done {
 		choice.FinishReason = &t.Reason
 	}
-	w.event(chunk{
+	w.writeEvent(chunk{
 		ID:      w.answer.Call.RequestID,
 		Object:  object,
 		Created: w.answer.Started.Unix(),
@@ -119,24 +124,24 @@
 	})
 }
 
-func (w *eventWriter) fail(r *completion.Refusal) {
-	w.event(errorEvent{&callers.ErrorDetail{Code: r.Code, Message: r.Message}})
+func (w *eventWriter) writeError(r *completion.Refusal) {
+	w.writeEvent(errorEvent{&callers.ErrorDetail{Code: r.Code, Message: r.Message}})
 }
 
-func (w *eventWriter) event(v any) {
+func (w *eventWriter) writeEvent(v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		w.gone = true
+		w.closed = true
 		return
 	}
 	w.write("data: " + string(body) + "\n\n")
 }
 
 func (w *eventWriter) write(s string) {
-	if w.gone {
+	if w.closed {
 		return
 	}
 	if _, err := io.WriteString(w.out, s); err != nil {
-		w.gone = true
+		w.closed = true
 	}
 }
--- a/pkg/openai/middleware.go
+++ b/pkg/openai/middleware.go
@@ -7,10 +7,10 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// closing ends each connection with its present answer while the host stops.
-// A connection that is only closed by the shutdown may have a request on its
-// way; its caller would see it cut.
-func (d Door) closing(next http.Handler) http.Handler {
+// closeWhenStopping closes each connection after its current response while the
+// host is shutting down. If only the shutdown closed idle connections, a request
+// already in transit on one would fail.
+func (d Door) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.Host.Stopping() {
 			w.Header().Set("Connection", "close")
@@ -19,24 +19,24 @@
 	})
 }
 
-// traced continues the caller's trace.
-func traced(next http.Handler) http.Handler {
+// extractTrace takes the caller's trace context from the request headers.
+func extractTrace(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 		next.ServeHTTP(w, r.WithContext(ctx))
 	})
 }
 
-// flushed sends each write of an event stream at once. The generated code
-// copies the stream, and net/http would hold tokens back until its buffer is
-// full.
-func flushed(next http.Handler) http.Handler {
+// flushEvents flushes every write of an event stream. Otherwise net/http buffers
+// the stream that the generated code copies, and tokens are delayed.
+func flushEvents(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(&flushWriter{ResponseWriter: w, control: http.NewResponseController(w)}, r)
 	})
 }
 
-// flushWriter hides ReadFrom of the writer below, which would buffer.
+// flushWriter does not expose ReadFrom of the underlying writer, which would
+// bypass Write and its flush.
 type flushWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
--- a/pkg/openai/door.go
+++ b/pkg/openai/server.go
@@ -1,7 +1,6 @@
-// Package openai is the door for callers of the project's own interface: the
-// OpenAI-compatible completions, calls of plain services and deferred requests.
-// It authenticates callers by their contracts, decodes their requests for
-// package completion, and encodes the answers.
+// Package openai implements the callers' HTTP API: OpenAI-compatible completions,
+// calls of plain services and deferred requests. It authenticates callers by
+// their contracts, decodes requests for package completion, and encodes responses.
 package openai
 
 import (
@@ -18,28 +17,27 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// maxRequestBytes bounds the body of a caller's request.
 const maxRequestBytes = 4 << 20
 
-// readHeaderTimeout ends connections that send no request.
 const readHeaderTimeout = 10 * time.Second
 
-// Host is what the door needs of an entry host.
+// Host provides what the API needs from an entry host.
 type Host interface {
 	// Authenticate returns the contract that lists a caller's token.
 	Authenticate(token string) (state.ContractEntry, bool)
 	// Now is the host's clock.
 	Now() time.Time
-	// Stopping hosts end each connection with its present answer.
+	// Stopping reports whether the host is shutting down. Connections are then
+	// closed after their current response.
 	Stopping() bool
-	// Defer records a request that is answered later. After an error it may be
-	// recorded or not.
+	// Defer records a deferred request. After an error the request may or may not
+	// be recorded.
 	Defer(ctx context.Context, d record.Deferred) error
-	// Deferred returns a recorded request.
+	// Deferred returns the deferred request with the given ID.
 	Deferred(id string) (state.DeferredRequest, bool)
 }
 
-// Door implements the callers' interface.
+// Door implements callers.Handler and callers.SecurityHandler.
 type Door struct {
 	Host   Host
 	Runner *completion.Runner
@@ -47,17 +45,18 @@
 
 type contractKey struct{}
 
-// Server returns the HTTP server of the callers' interface.
+// Server returns the HTTP server of the callers' API.
 func (d Door) Server(provider trace.TracerProvider) (*http.Server, error) {
 	server, err := callers.NewServer(d, d, callers.WithTracerProvider(provider), callers.WithErrorHandler(d.writeError))
 	if err != nil {
 		return nil, err
 	}
-	handler := d.closing(traced(http.MaxBytesHandler(flushed(server), maxRequestBytes)))
+	handler := d.closeWhenStopping(extractTrace(http.MaxBytesHandler(flushEvents(server), maxRequestBytes)))
 	return &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}, nil
 }
 
-// HandleBearer authenticates a caller by the contract that lists its token.
+// HandleBearer implements callers.SecurityHandler. It adds the contract that lists
+// the token to the context.
 func (d Door) HandleBearer(ctx context.Context, _ callers.OperationName, t callers.Bearer) (context.Context, error) {
 	entry, ok := d.Host.Authenticate(t.Token)
 	if !ok {
@@ -70,8 +69,9 @@
 	return ctx.Value(contractKey{}).(state.ContractEntry)
 }
 
-// modelFor finds a model of the caller's contract.
-func modelFor(ctx context.Context, name string, service bool) (state.ContractEntry, contract.Model, *completion.Refusal) {
+// findModel returns the named model of the caller's contract. It refuses a plain
+// service unless service is set, and a model if service is set.
+func findModel(ctx context.Context, name string, service bool) (state.ContractEntry, contract.Model, *completion.Refusal) {
 	entry := callerContract(ctx)
 	m, ok := entry.Contract.Model(name)
 	if !ok {
@@ -83,10 +83,11 @@
 	return entry, m, nil
 }
 
-// deadlineFor is the shorter of the contract's longest wait and the caller's.
-func (d Door) deadlineFor(entry state.ContractEntry, m contract.Model, ms callers.OptInt64) time.Time {
+// deadlineFor returns the earlier of the contract's and the caller's deadline for
+// the start of the response.
+func (d Door) deadlineFor(entry state.ContractEntry, m contract.Model, clientDeadline callers.OptInt64) time.Time {
 	wait := entry.Contract.Class(m).MaxWait
-	if v, ok := ms.Get(); ok {
+	if v, ok := clientDeadline.Get(); ok {
 		wait = min(wait, time.Duration(v)*time.Millisecond)
 	}
 	return d.Host.Now().Add(wait)
@@ -94,7 +95,7 @@
 
 // CallService implements callers.Handler.
 func (d Door) CallService(ctx context.Context, req callers.ServiceBody, params callers.CallServiceParams) (callers.ServiceBody, error) {
-	entry, m, refusal := modelFor(ctx, params.Service, true)
+	entry, m, refusal := findModel(ctx, params.Service, true)
 	if refusal != nil {
 		return nil, refusal
 	}
