--- a/pkg/external/external.go
+++ b/pkg/external/external.go
@@ -1,6 +1,6 @@
-// Package external declares what the system needs from the outside: the log
+// Package external declares the interfaces of the external systems: the log
 // service, the model engines, the weight store and the list of hosts.
-// Adapters implement it; their addresses come from settings.
+// Adapters implement them.
 package external
 
 import (
@@ -15,22 +15,24 @@
 )
 
 var (
-	// ErrUnavailable means that no answer came: the call may have taken effect.
-	ErrUnavailable = errors.New("no answer")
+	// ErrUnavailable means that no valid response was received. The call may have
+	// taken effect.
+	ErrUnavailable = errors.New("no response from the external system")
 	// ErrRejected means that the call certainly had no effect.
-	ErrRejected = errors.New("rejected")
+	ErrRejected = errors.New("call rejected")
 	// ErrRefused means that no process listens at the address; the call had no effect.
 	ErrRefused = errors.Wrap(ErrRejected, "connection refused")
-	// ErrInvalid means that a repeat of the same call would be rejected again.
+	// ErrInvalid means that a retry of the same call would be rejected again.
 	ErrInvalid = errors.Wrap(ErrRejected, "invalid call")
 	// ErrNotLoaded means that the endpoint does not serve the model; nothing ran.
 	ErrNotLoaded = errors.Wrap(ErrRejected, "model is not loaded")
-	// ErrBroken means that an answer came that is not the whole answer to the
-	// request: cut, crossed or out of order.
-	ErrBroken = errors.New("broken answer")
+	// ErrBroken means that the response is truncated, out of order or belongs to
+	// another request.
+	ErrBroken = errors.New("incomplete or invalid response")
 )
 
-// PauseError is a rejection by an endpoint that wants no other call of this host for a while.
+// PauseError is a rejection by an endpoint that asks this host to send no calls
+// for the duration of Pause.
 type PauseError struct {
 	Pause time.Duration
 	// Cause wraps ErrRejected.
@@ -38,7 +40,7 @@
 }
 
 // Error implements error.
-func (e *PauseError) Error() string { return fmt.Sprintf("%v; pause of %v", e.Cause, e.Pause) }
+func (e *PauseError) Error() string { return fmt.Sprintf("%v; requested pause: %v", e.Cause, e.Pause) }
 
 // Unwrap implements errors.Wrapper.
 func (e *PauseError) Unwrap() error { return e.Cause }
@@ -49,7 +51,7 @@
 	Data   []byte        `cbor:"2,keyasint" json:"data"`
 }
 
-// TrimmedError is returned by Read when the records asked for are no longer kept.
+// TrimmedError is returned by Read when the requested records have been deleted.
 type TrimmedError struct {
 	// First is the oldest offset that can be read.
 	First record.Offset
@@ -57,25 +59,25 @@
 
 // Error implements error.
 func (e *TrimmedError) Error() string {
-	return fmt.Sprintf("trimmed: the first readable offset is %d", e.First)
+	return fmt.Sprintf("log is trimmed: first readable offset is %d", e.First)
 }
 
 // LogReader reads records in order.
 type LogReader interface {
-	// Read returns up to limit records from an offset on. Without any it waits
-	// up to wait. It returns *TrimmedError or wraps ErrUnavailable.
+	// Read returns up to limit records, starting at offset from. If there are
+	// none, it blocks up to wait. Errors are *TrimmedError or wrap ErrUnavailable.
 	Read(ctx context.Context, from record.Offset, limit int, wait time.Duration) ([]Entry, error)
 }
 
 // Log is the platform's append-only log service.
 type Log interface {
 	LogReader
-	// Append adds a record. An error that wraps ErrRejected means that it was
-	// not added; with any other it may have been.
+	// Append appends a record. If the error wraps ErrRejected, the record was not
+	// appended; after any other error it may have been.
 	Append(ctx context.Context, data []byte) (record.Offset, error)
 }
 
-// HostKind tells entry hosts from endpoints in the platform's list.
+// HostKind distinguishes entry hosts and endpoints in the platform's list.
 type HostKind string
 
 // The kinds of listed hosts.
@@ -84,7 +86,7 @@
 	EndpointHost HostKind = "endpoint"
 )
 
-// ListedHost is one line of the platform's list, which lags.
+// ListedHost is one entry of the platform's list. The list may be stale.
 type ListedHost struct {
 	Name        string             `json:"name"`
 	Kind        HostKind           `json:"kind"`
@@ -93,10 +95,10 @@
 	Addr    string `json:"addr"`
 	Zone    string `json:"zone"`
 	Leaving bool   `json:"leaving,omitempty"`
-	// Pool is the pool of an engine; Service the name of a plain service.
+	// Pool is set for engines, Service for plain services.
 	Pool    string `json:"pool,omitempty"`
 	Service string `json:"service,omitempty"`
-	// ChecksFencing tells whether the engine refuses old fencing tokens.
+	// ChecksFencing reports whether the engine rejects stale fencing tokens.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
 }
 
@@ -108,7 +110,7 @@
 // StoreLimits are the limits of the weight store.
 type StoreLimits struct {
 	LoadsPerSecond float64 `json:"loads_per_second"`
-	// Concurrent loads run at full speed up to this number.
+	// Concurrent is the number of concurrent loads that run at full speed.
 	Concurrent int `json:"concurrent"`
 }
 
@@ -117,12 +119,12 @@
 	Limits(ctx context.Context) (StoreLimits, error)
 }
 
-// EngineStatus is what an engine says of itself.
+// EngineStatus is the status that an engine reports.
 type EngineStatus struct {
 	Incarnation record.Incarnation `json:"incarnation"`
 	MemoryMB    int64              `json:"memory_mb"`
 	Replicas    []EngineReplica    `json:"replicas"`
-	// Running and Queued count requests; the report lags.
+	// Running and Queued count requests. They may be stale.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
 }
@@ -144,13 +146,13 @@
 	MaxTokens   int              `json:"max_tokens"`
 	Temperature float64          `json:"temperature,omitempty"`
 	Priority    int              `json:"priority,omitempty"`
-	// ResumeFrom is the index of the first token wanted, to go on with a
-	// stream that broke.
+	// ResumeFrom is the index of the first token to send. It is set to resume a
+	// broken stream.
 	ResumeFrom int `json:"resume_from,omitempty"`
 }
 
-// Token is one piece of a generated stream. Every token names its request, and
-// the last one says so, so that a crossed or cut answer is noticed.
+// Token is one token of a generated stream. RequestID and Done allow the reader to
+// detect a response of another request and a truncated response.
 type Token struct {
 	RequestID string `json:"request_id"`
 	Index     int    `json:"index"`
@@ -162,7 +164,7 @@
 // TokenStream yields the tokens of one request.
 type TokenStream interface {
 	// Next returns the next token. The token with Done is the last one and has
-	// no text. Any error means that the answer is not whole.
+	// no text. An error means that the stream is incomplete.
 	Next() (Token, error)
 	Close() error
 }
@@ -174,15 +176,15 @@
 	Body      json.RawMessage `json:"body"`
 }
 
-// ServiceAnswer is the answer of a plain service.
+// ServiceAnswer is the response of a plain service.
 type ServiceAnswer struct {
 	RequestID string          `json:"request_id"`
 	Status    int             `json:"status"`
 	Body      json.RawMessage `json:"body"`
 }
 
-// CacheEvent says that an engine stored or dropped a prompt prefix. Events
-// come late and with gaps, which Seq shows.
+// CacheEvent reports that an engine cached or evicted a prompt prefix. Events may
+// be late or missing; gaps in Seq show missing events.
 type CacheEvent struct {
 	Seq     uint64 `json:"seq"`
 	Model   string `json:"model"`
@@ -190,15 +192,15 @@
 	Dropped bool   `json:"dropped,omitempty"`
 }
 
-// Engine is the protocol of model endpoints and plain services. addr is the
-// base URL of the endpoint.
+// Engine is the client interface of model endpoints and plain services. addr is
+// the base URL of the endpoint.
 type Engine interface {
 	Status(ctx context.Context, addr string) (EngineStatus, error)
-	// Order carries out an order. It takes effect only on the incarnation that
-	// the order names.
+	// Order sends an order. It takes effect only on the incarnation that the order
+	// names.
 	Order(ctx context.Context, o pool.Order) (pool.OrderResult, error)
-	// Generate starts a completion. An error that wraps ErrRejected means that
-	// nothing ran; with any other it may have run.
+	// Generate starts a completion. If the error wraps ErrRejected, the request did
+	// not run; after any other error it may have run.
 	Generate(ctx context.Context, addr string, r GenerateRequest) (TokenStream, error)
 	Cancel(ctx context.Context, addr, requestID string) error
 	// Call calls a plain service; errors are as for Generate.
--- a/pkg/external/httpadapter/adapter_test.go
+++ b/pkg/external/httpadapter/adapter_test.go
@@ -24,7 +24,7 @@
 	})
 }
 
-func load(e *standin.Engine, addr string) pool.Order {
+func loadOrder(e *standin.Engine, addr string) pool.Order {
 	return pool.Order{
 		Kind:        pool.OrderLoad,
 		Endpoint:    "e",
@@ -37,27 +37,26 @@
 	}
 }
 
-// An engine loads a replica that was counted for its former run. An order is
-// decided, the engine restarts under the same address with empty memory that
-// is given to others, and the order arrives there.
-func TestOrderReachesOnlyItsIncarnation(t *testing.T) {
+// Guards against an order that takes effect on an engine that restarted at the
+// same address after the order was issued.
+func TestOrderRefusedAfterEndpointRestart(t *testing.T) {
 	is := is.New(t)
 	old, restarted := newEngine(false), newEngine(false)
 	server := httptest.NewServer(restarted.Handler())
 	defer server.Close()
-	result, err := httpadapter.NewEngine().Order(context.Background(), load(old, server.URL))
+	result, err := httpadapter.NewEngine().Order(context.Background(), loadOrder(old, server.URL))
 	is.True(err != nil)
 	is.Equal(result, pool.OrderRefused)
 	is.Equal(restarted.Observed().Loads, 0)
 
-	result, err = httpadapter.NewEngine().Order(context.Background(), load(restarted, server.URL))
+	result, err = httpadapter.NewEngine().Order(context.Background(), loadOrder(restarted, server.URL))
 	is.NoErr(err)
 	is.Equal(result, pool.OrderOK)
 }
 
-// The engine restarts between the look at its incarnation and the order: the
-// connection is gone with the old process, and no second one may be made.
-func TestOrderIsNotSentOnASecondConnection(t *testing.T) {
+// Guards against an order sent on a new connection after the engine restarted
+// between the incarnation check and the order.
+func TestOrderNotSentOnSecondConnection(t *testing.T) {
 	is := is.New(t)
 	engine := newEngine(false)
 	mux := http.NewServeMux()
@@ -68,37 +67,37 @@
 	mux.Handle("/", engine.Handler())
 	server := httptest.NewServer(mux)
 	defer server.Close()
-	result, err := httpadapter.NewEngine().Order(context.Background(), load(engine, server.URL))
+	result, err := httpadapter.NewEngine().Order(context.Background(), loadOrder(engine, server.URL))
 	is.True(err != nil)
 	is.Equal(result, pool.OrderRefused)
 	is.Equal(engine.Observed().Loads, 0)
 }
 
-// An owner that lost its pool sends an order late; the engine refuses its
-// fencing token and loads nothing.
-func TestOldFencingTokenIsRefused(t *testing.T) {
+// Guards against a late order of a former pool owner: an engine that checks
+// fencing tokens must refuse a stale one and load nothing.
+func TestStaleFencingTokenRefused(t *testing.T) {
 	is := is.New(t)
 	engine := newEngine(true)
 	server := httptest.NewServer(engine.Handler())
 	defer server.Close()
 	client := httpadapter.NewEngine()
-	unload := load(engine, server.URL)
+	unload := loadOrder(engine, server.URL)
 	unload.Kind = pool.OrderUnload
 	unload.Fence = 9
 	result, err := client.Order(context.Background(), unload)
 	is.NoErr(err)
 	is.Equal(result, pool.OrderOK)
-	result, _ = client.Order(context.Background(), load(engine, server.URL))
+	result, _ = client.Order(context.Background(), loadOrder(engine, server.URL))
 	is.Equal(result, pool.OrderRefused)
 	is.Equal(engine.Observed().Loads, 0)
 }
 
-func startLoaded(t *testing.T) (*standin.Engine, string, *httpadapter.Engine) {
+func newLoadedEngine(t *testing.T) (*standin.Engine, string, *httpadapter.Engine) {
 	engine := newEngine(false)
 	server := httptest.NewServer(engine.Handler())
 	t.Cleanup(server.Close)
 	client := httpadapter.NewEngine()
-	if result, err := client.Order(context.Background(), load(engine, server.URL)); result != pool.OrderOK {
+	if result, err := client.Order(context.Background(), loadOrder(engine, server.URL)); result != pool.OrderOK {
 		t.Fatal(err)
 	}
 	return engine, server.URL, client
@@ -115,16 +114,16 @@
 	}
 }
 
-// A caller gets another request's answer, or half of its own as if it were
-// whole: the engine mislabels its stream, or its connection breaks.
-func TestBrokenStreamsAreNoticed(t *testing.T) {
+// Guards against accepting tokens of another request or a truncated stream as a
+// complete response.
+func TestBrokenStreamsReturnErrBroken(t *testing.T) {
 	for name, fault := range map[string]standin.EngineFaults{
 		"crossed": {Cross: true},
 		"cut":     {CutAfter: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			engine, url, client := startLoaded(t)
+			engine, url, client := newLoadedEngine(t)
 			request := external.GenerateRequest{RequestID: "q", Replica: "r1", Model: "m", Prompt: "a b c"}
 			stream, err := client.Generate(context.Background(), url, request)
 			is.NoErr(err)
@@ -141,11 +140,11 @@
 	}
 }
 
-// A refused request is called "not run": the model is not loaded, or nobody
-// listens. A lost answer is not, since the service has run the call.
-func TestWhatIsKnownOfAFailedCall(t *testing.T) {
+// Guards against a wrong error class: a call that certainly did not run must return
+// ErrRejected, and a call whose response was lost must not.
+func TestCallErrorsTellWhetherCallRan(t *testing.T) {
 	is := is.New(t)
-	engine, url, client := startLoaded(t)
+	engine, url, client := newLoadedEngine(t)
 	_, err := client.Generate(context.Background(), url, external.GenerateRequest{RequestID: "q", Model: "other"})
 	is.True(errors.Is(err, external.ErrNotLoaded))
 	is.True(errors.Is(err, external.ErrRejected))
@@ -169,9 +168,9 @@
 	return l.Addr().String()
 }
 
-// A contract change whose answer was lost has taken effect all the same, and
-// a reader that is behind the kept records is told where they begin.
-func TestLogAnswers(t *testing.T) {
+// Guards against treating an append whose response was lost as rejected, and checks
+// that a read of trimmed records returns the first readable offset.
+func TestLogClientErrors(t *testing.T) {
 	is := is.New(t)
 	log := standin.NewLog()
 	server := httptest.NewServer(log.Handler())
@@ -199,8 +198,9 @@
 	is.True(errors.Is(err, external.ErrInvalid))
 }
 
-// A busy service says when it takes calls again. A date, or what is no number, is left out.
-func TestPauseOfARejectedCall(t *testing.T) {
+// Checks that Retry-After of a 429 response becomes a pause, and that values other
+// than a positive number of seconds are ignored.
+func TestRetryAfterOfRejectedCall(t *testing.T) {
 	is := is.New(t)
 	for text, want := range map[string]time.Duration{"3": 3 * time.Second, "": 0, "-1": 0, "soon": 0, "99999999999": 24 * time.Hour} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -210,9 +210,9 @@
 		_, err := httpadapter.NewEngine().Call(context.Background(), server.URL, external.ServiceCall{RequestID: "c"})
 		server.Close()
 		is.True(errors.Is(err, external.ErrRejected))
-		var asks *external.PauseError
-		if errors.As(err, &asks) {
-			is.Equal(asks.Pause, want)
+		var pauseErr *external.PauseError
+		if errors.As(err, &pauseErr) {
+			is.Equal(pauseErr.Pause, want)
 		} else {
 			is.Equal(want, time.Duration(0))
 		}
--- a/pkg/external/httpadapter/client.go
+++ b/pkg/external/httpadapter/client.go
@@ -1,4 +1,5 @@
-// Package httpadapter meets the outside systems over HTTP and JSON.
+// Package httpadapter implements the interfaces of package external with JSON over
+// HTTP.
 package httpadapter
 
 import (
@@ -21,20 +22,19 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer that is read whole.
-	maxAnswerBytes = 16 << 20
-	maxErrorBytes  = 4 << 10
-	// maxPause bounds a pause that an endpoint asks for.
+	maxResponseBytes = 16 << 20
+	maxErrorBytes    = 4 << 10
+	// maxPause limits the pause that an endpoint can ask for.
 	maxPause = 24 * time.Hour
 )
 
-// client is the common part of the adapters.
+// client is the HTTP client that the adapters share.
 type client struct {
 	http *http.Client
 }
 
-// newClient returns a client that never follows a redirect: a call must reach
-// the system it was meant for, once.
+// newClient returns a client that does not follow redirects, so that a call
+// reaches only the addressed system.
 func newClient(transport http.RoundTripper) client {
 	return client{http: &http.Client{
 		Transport:     transport,
@@ -42,17 +42,17 @@
 	}}
 }
 
-// call sends in as JSON and decodes the answer into out; either may be nil.
-func (c client) call(ctx context.Context, method, target string, in, out any) error {
+// doJSON sends in as JSON and decodes the response into out. Either may be nil.
+func (c client) doJSON(ctx context.Context, method, target string, in, out any) error {
 	resp, err := c.send(ctx, method, target, in)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	// Read to the end, so that the connection can be used again.
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	// Read to the end, so that the connection can be reused.
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err == nil && out != nil {
-		err = json.Unmarshal(answer, out)
+		err = json.Unmarshal(data, out)
 	}
 	if err != nil {
 		return errors.Wrapf(external.ErrUnavailable, "%s %s: %v", method, target, err)
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// send returns the response to a call when its status is 2xx. The error wraps
-// ErrRejected when the call certainly had no effect: no connection was made,
-// or the other side said so with a 4xx status.
+// send returns the response to a call if its status is 2xx. The error wraps
+// ErrRejected if the call certainly had no effect: no connection was established,
+// or the status is 4xx.
 func (c client) send(ctx context.Context, method, target string, in any) (*http.Response, error) {
 	var body []byte
 	if in != nil {
@@ -78,8 +78,8 @@
 	if err != nil {
 		return nil, errors.Wrapf(external.ErrRejected, "%v", err)
 	}
-	// No Idempotency-Key is ever sent on: net/http repeats a POST that carries
-	// one on its own when the connection breaks, and the request runs twice.
+	// Do not set Idempotency-Key: net/http retries a POST that has one when the
+	// connection breaks, and the request would run twice.
 	req.Header.Set("Content-Type", "application/json")
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(req.Header))
 	resp, err := c.http.Do(req)
@@ -96,23 +96,23 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	return nil, statusError(resp)
+	return nil, newStatusError(resp)
 }
 
-// statusCode is an answer with a status outside 2xx.
-type statusCode struct {
+// statusError is a response with a status other than 2xx.
+type statusError struct {
 	code int
 	body []byte
 }
 
-func (e *statusCode) Error() string { return http.StatusText(e.code) + ": " + string(e.body) }
+func (e *statusError) Error() string { return http.StatusText(e.code) + ": " + string(e.body) }
 
-func statusError(resp *http.Response) error {
+func newStatusError(resp *http.Response) error {
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
-	status := &statusCode{resp.StatusCode, bytes.TrimSpace(body)}
+	status := &statusError{resp.StatusCode, bytes.TrimSpace(body)}
 	if resp.StatusCode >= 400 && resp.StatusCode < 500 {
 		rejected := errors.Mark(status, external.ErrRejected)
-		if p := pause(resp); p > 0 {
+		if p := requestedPause(resp); p > 0 {
 			return &external.PauseError{Pause: p, Cause: rejected}
 		}
 		return rejected
@@ -120,23 +120,23 @@
 	return errors.Mark(status, external.ErrUnavailable)
 }
 
-// pause is for how long an answer asks for no further call, 0 for not at all. A date in place of
-// seconds is left out: clocks differ.
-func pause(resp *http.Response) time.Duration {
-	s, err := strconv.Atoi(resp.Header.Get("Retry-After"))
-	if err != nil || s < 0 || resp.StatusCode != http.StatusTooManyRequests {
+// requestedPause returns the Retry-After of a 429 response, or 0. The date form of
+// the header is ignored because clocks may differ.
+func requestedPause(resp *http.Response) time.Duration {
+	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
+	if err != nil || seconds < 0 || resp.StatusCode != http.StatusTooManyRequests {
 		return 0
 	}
-	return min(time.Duration(min(s, math.MaxInt32))*time.Second, maxPause)
+	return min(time.Duration(min(seconds, math.MaxInt32))*time.Second, maxPause)
 }
 
-func statusOf(err error) (*statusCode, bool) {
-	var status *statusCode
+func asStatusError(err error) (*statusError, bool) {
+	var status *statusError
 	ok := errors.As(err, &status)
 	return status, ok
 }
 
-func join(base, path string, query url.Values) string {
+func buildURL(base, path string, query url.Values) string {
 	target := base + path
 	if len(query) > 0 {
 		target += "?" + query.Encode()
--- a/pkg/external/httpadapter/engine.go
+++ b/pkg/external/httpadapter/engine.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	dialTimeout       = time.Second
-	statusTimeout     = time.Second
-	cancelTimeout     = time.Second
-	idlePerHost       = 256
-	maxTokenLineBytes = 1 << 20
+	dialTimeout         = time.Second
+	statusTimeout       = time.Second
+	cancelTimeout       = time.Second
+	maxIdleConnsPerHost = 256
+	maxTokenLineBytes   = 1 << 20
 )
 
 // Engine is the client of model endpoints and plain services.
@@ -33,7 +33,7 @@
 func NewEngine() *Engine {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout:     30 * time.Second,
 		DisableCompression:  true,
 	}
@@ -45,14 +45,14 @@
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	var out external.EngineStatus
-	err := e.call(ctx, http.MethodGet, addr+"/v1/status", nil, &out)
+	err := e.doJSON(ctx, http.MethodGet, addr+"/v1/status", nil, &out)
 	return out, errors.Wrap(err, "engine status")
 }
 
 // Generate implements external.Engine.
 func (e *Engine) Generate(ctx context.Context, addr string, r external.GenerateRequest) (external.TokenStream, error) {
 	resp, err := e.send(ctx, http.MethodPost, addr+"/v1/generate", r)
-	if status, ok := statusOf(err); ok && status.code == http.StatusNotFound {
+	if status, ok := asStatusError(err); ok && status.code == http.StatusNotFound {
 		return nil, errors.Mark(err, external.ErrNotLoaded)
 	}
 	if err != nil {
@@ -60,33 +60,33 @@
 	}
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, maxTokenLineBytes)
-	return &tokenStream{request: r.RequestID, next: r.ResumeFrom, body: resp.Body, lines: lines}, nil
+	return &tokenStream{requestID: r.RequestID, next: r.ResumeFrom, body: resp.Body, lines: lines}, nil
 }
 
-// tokenStream checks that each token belongs to the request and follows the
-// last one. A late answer on a reused connection shows as another request's
-// ID, a cut one as an end of data without the end marker.
+// tokenStream verifies that each token belongs to the request and has the next
+// index. This detects a late response of another request on a reused connection.
+// A stream that ends without the token with Done is truncated.
 type tokenStream struct {
-	request string
-	next    int
-	body    io.ReadCloser
-	lines   *bufio.Scanner
+	requestID string
+	next      int
+	body      io.ReadCloser
+	lines     *bufio.Scanner
 }
 
 // Next implements external.TokenStream.
 func (s *tokenStream) Next() (external.Token, error) {
 	if !s.lines.Scan() {
-		return external.Token{}, errors.Wrapf(external.ErrBroken, "stream ended before its end marker: %v", s.lines.Err())
+		return external.Token{}, errors.Wrapf(external.ErrBroken, "stream ended before its last token: %v", s.lines.Err())
 	}
 	var t external.Token
 	if err := json.Unmarshal(s.lines.Bytes(), &t); err != nil {
-		return external.Token{}, errors.Wrapf(external.ErrBroken, "%v", err)
+		return external.Token{}, errors.Wrapf(external.ErrBroken, "decode token: %v", err)
 	}
-	if t.RequestID != s.request {
-		return external.Token{}, errors.Wrapf(external.ErrBroken, "answer to request %q", t.RequestID)
+	if t.RequestID != s.requestID {
+		return external.Token{}, errors.Wrapf(external.ErrBroken, "token is for request %q, want %q", t.RequestID, s.requestID)
 	}
 	if t.Index != s.next {
-		return external.Token{}, errors.Wrapf(external.ErrBroken, "token %d instead of %d", t.Index, s.next)
+		return external.Token{}, errors.Wrapf(external.ErrBroken, "token index is %d, want %d", t.Index, s.next)
 	}
 	s.next++
 	return t, nil
@@ -103,31 +103,31 @@
 func (e *Engine) Cancel(ctx context.Context, addr, requestID string) error {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
-	err := e.call(ctx, http.MethodPost, addr+"/v1/cancel", cancelRequest{requestID}, nil)
+	err := e.doJSON(ctx, http.MethodPost, addr+"/v1/cancel", cancelRequest{requestID}, nil)
 	return errors.Wrap(err, "cancel")
 }
 
 // Call implements external.Engine.
 func (e *Engine) Call(ctx context.Context, addr string, c external.ServiceCall) (external.ServiceAnswer, error) {
 	var out external.ServiceAnswer
-	if err := e.call(ctx, http.MethodPost, addr+"/v1/call", c, &out); err != nil {
+	if err := e.doJSON(ctx, http.MethodPost, addr+"/v1/call", c, &out); err != nil {
 		return external.ServiceAnswer{}, errors.Wrap(err, "call")
 	}
 	if out.RequestID != c.RequestID {
-		return external.ServiceAnswer{}, errors.Wrapf(external.ErrBroken, "answer to request %q", out.RequestID)
+		return external.ServiceAnswer{}, errors.Wrapf(external.ErrBroken, "response is for request %q, want %q", out.RequestID, c.RequestID)
 	}
 	return out, nil
 }
 
-type cacheEventsAnswer struct {
+type cacheEventsResponse struct {
 	Events []external.CacheEvent `json:"events"`
 }
 
 // CacheEvents implements external.Engine.
 func (e *Engine) CacheEvents(ctx context.Context, addr string, from uint64) ([]external.CacheEvent, error) {
-	var out cacheEventsAnswer
+	var out cacheEventsResponse
 	query := url.Values{"from": {strconv.FormatUint(from, 10)}}
-	err := e.call(ctx, http.MethodGet, join(addr, "/v1/cache-events", query), nil, &out)
+	err := e.doJSON(ctx, http.MethodGet, buildURL(addr, "/v1/cache-events", query), nil, &out)
 	return out.Events, errors.Wrap(err, "cache events")
 }
 
@@ -139,13 +139,13 @@
 // ExportKV implements external.Engine.
 func (e *Engine) ExportKV(ctx context.Context, addr, requestID string) ([]byte, error) {
 	var out kvCache
-	err := e.call(ctx, http.MethodPost, addr+"/v1/kv/export", kvCache{RequestID: requestID}, &out)
+	err := e.doJSON(ctx, http.MethodPost, addr+"/v1/kv/export", kvCache{RequestID: requestID}, &out)
 	return out.Data, errors.Wrap(err, "export KV cache")
 }
 
 // ImportKV implements external.Engine.
 func (e *Engine) ImportKV(ctx context.Context, addr, requestID string, data []byte) error {
-	err := e.call(ctx, http.MethodPost, addr+"/v1/kv/import", kvCache{requestID, data}, nil)
+	err := e.doJSON(ctx, http.MethodPost, addr+"/v1/kv/import", kvCache{requestID, data}, nil)
 	return errors.Wrap(err, "import KV cache")
 }
 
@@ -156,6 +156,6 @@
 
 // SetRole implements external.Engine.
 func (e *Engine) SetRole(ctx context.Context, addr, role string, fence record.Offset) error {
-	err := e.call(ctx, http.MethodPost, addr+"/v1/orders/role", roleRequest{role, fence}, nil)
+	err := e.doJSON(ctx, http.MethodPost, addr+"/v1/orders/role", roleRequest{role, fence}, nil)
 	return errors.Wrap(err, "set role")
 }
--- a/pkg/external/httpadapter/order.go
+++ b/pkg/external/httpadapter/order.go
@@ -21,34 +21,33 @@
 	Fence     record.Offset    `json:"fence"`
 }
 
-var errOneConnection = errors.New("an order uses one connection only")
+var errSecondConnection = errors.New("order attempted a second connection")
 
 // Order implements external.Engine.
 //
-// The order travels on a connection over which the endpoint has just shown
-// its incarnation. An owner that was paused, or whose packets were held up,
-// while the endpoint restarted would otherwise load a replica into the new
-// process, whose memory was given to others. A connection ends with the
-// process that accepted it, so the order cannot reach another one.
+// The order is sent on the connection that returned the endpoint's incarnation.
+// A connection ends with the process that accepted it, so an order that is
+// delayed while the endpoint restarts cannot reach the new process, whose memory
+// may be reserved for other replicas.
 func (e *Engine) Order(ctx context.Context, o pool.Order) (pool.OrderResult, error) {
 	transport := &http.Transport{DialContext: dialOnce(), MaxConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
-	bound := Engine{newClient(transport)}
-	status, err := bound.Status(ctx, o.Addr)
+	pinned := Engine{newClient(transport)}
+	status, err := pinned.Status(ctx, o.Addr)
 	if err != nil {
 		return pool.OrderRefused, err
 	}
 	if status.Incarnation != o.Incarnation {
-		return pool.OrderRefused, errors.Newf("endpoint %s restarted as %s", o.Endpoint, status.Incarnation)
+		return pool.OrderRefused, errors.Newf("order for incarnation %s refused: endpoint %s has incarnation %s", o.Incarnation, o.Endpoint, status.Incarnation)
 	}
-	in := orderRequest{
+	request := orderRequest{
 		Replica:   o.Replica,
 		Model:     o.Model,
 		BaseModel: o.BaseModel,
 		MemoryMB:  o.MemoryMB,
 		Fence:     o.Fence,
 	}
-	err = bound.call(ctx, http.MethodPost, o.Addr+"/v1/orders/"+o.Kind.String(), in, nil)
+	err = pinned.doJSON(ctx, http.MethodPost, o.Addr+"/v1/orders/"+o.Kind.String(), request, nil)
 	switch {
 	case err == nil:
 		return pool.OrderOK, nil
@@ -59,17 +58,18 @@
 	}
 }
 
+// dialOnce returns a dial function that fails after its first call.
 func dialOnce() func(context.Context, string, string) (net.Conn, error) {
 	var mu sync.Mutex
-	used := false
+	dialed := false
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: 5 * time.Second}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if used {
-			return nil, errOneConnection
+		if dialed {
+			return nil, errSecondConnection
 		}
-		used = true
+		dialed = true
 		return dialer.DialContext(ctx, network, addr)
 	}
 }
--- a/pkg/external/httpadapter/log.go
+++ b/pkg/external/httpadapter/platform.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	appendTimeout = 2 * time.Second
-	readSlack     = 2 * time.Second
+	appendTimeout   = 2 * time.Second
+	responseTimeout = 2 * time.Second
 )
 
-// Log is the client of the log service for one stream.
+// Log is the client of one stream of the log service.
 type Log struct {
 	client
 	base string
 }
 
-// NewLog returns a client for a stream of the log service at base URL.
+// NewLog returns a client for a stream of the log service at the base URL.
 func NewLog(base, stream string) *Log {
 	return &Log{newClient(http.DefaultTransport.(*http.Transport).Clone()), base + "/v1/streams/" + url.PathEscape(stream)}
 }
@@ -33,7 +33,7 @@
 	Data []byte `json:"data"`
 }
 
-type appendAnswer struct {
+type appendResponse struct {
 	Offset record.Offset `json:"offset"`
 }
 
@@ -41,35 +41,35 @@
 func (l *Log) Append(ctx context.Context, data []byte) (record.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	var out appendAnswer
-	err := l.call(ctx, http.MethodPost, l.base+"/records", appendRequest{data}, &out)
-	if status, ok := statusOf(err); ok && status.code >= 400 && status.code < 500 && status.code != http.StatusTooManyRequests {
+	var out appendResponse
+	err := l.doJSON(ctx, http.MethodPost, l.base+"/records", appendRequest{data}, &out)
+	if status, ok := asStatusError(err); ok && status.code >= 400 && status.code < 500 && status.code != http.StatusTooManyRequests {
 		err = errors.Mark(err, external.ErrInvalid)
 	}
 	return out.Offset, errors.Wrap(err, "append")
 }
 
-type readAnswer struct {
+type readResponse struct {
 	Entries []external.Entry `json:"entries"`
 }
 
-type trimmedAnswer struct {
+type trimmedResponse struct {
 	First record.Offset `json:"first"`
 }
 
 // Read implements external.LogReader.
 func (l *Log) Read(ctx context.Context, from record.Offset, limit int, wait time.Duration) ([]external.Entry, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+responseTimeout)
 	defer cancel()
 	query := url.Values{
 		"from":    {strconv.FormatUint(uint64(from), 10)},
 		"limit":   {strconv.Itoa(limit)},
 		"wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
-	var out readAnswer
-	err := l.call(ctx, http.MethodGet, join(l.base, "/records", query), nil, &out)
-	if status, ok := statusOf(err); ok && status.code == http.StatusGone {
-		var trimmed trimmedAnswer
+	var out readResponse
+	err := l.doJSON(ctx, http.MethodGet, buildURL(l.base, "/records", query), nil, &out)
+	if status, ok := asStatusError(err); ok && status.code == http.StatusGone {
+		var trimmed trimmedResponse
 		if json.Unmarshal(status.body, &trimmed) == nil {
 			return nil, &external.TrimmedError{First: trimmed.First}
 		}
@@ -86,19 +86,19 @@
 	base string
 }
 
-// NewHostList returns a client for the list at base URL.
+// NewHostList returns a client for the host list at the base URL.
 func NewHostList(base string) *HostList { return &HostList{newClient(http.DefaultTransport), base} }
 
-type listAnswer struct {
+type listResponse struct {
 	Hosts []external.ListedHost `json:"hosts"`
 }
 
 // List implements external.HostList.
 func (h *HostList) List(ctx context.Context) ([]external.ListedHost, error) {
-	ctx, cancel := context.WithTimeout(ctx, readSlack)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
-	var out listAnswer
-	err := h.call(ctx, http.MethodGet, h.base+"/v1/hosts", nil, &out)
+	var out listResponse
+	err := h.doJSON(ctx, http.MethodGet, h.base+"/v1/hosts", nil, &out)
 	return out.Hosts, errors.Wrap(err, "list hosts")
 }
 
@@ -108,16 +108,16 @@
 	base string
 }
 
-// NewWeightStore returns a client for the store at base URL.
+// NewWeightStore returns a client for the weight store at the base URL.
 func NewWeightStore(base string) *WeightStore {
 	return &WeightStore{newClient(http.DefaultTransport), base}
 }
 
 // Limits implements external.WeightStore.
 func (w *WeightStore) Limits(ctx context.Context) (external.StoreLimits, error) {
-	ctx, cancel := context.WithTimeout(ctx, readSlack)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	var out external.StoreLimits
-	err := w.call(ctx, http.MethodGet, w.base+"/v1/limits", nil, &out)
-	return out, errors.Wrap(err, "limits of the weight store")
+	err := w.doJSON(ctx, http.MethodGet, w.base+"/v1/limits", nil, &out)
+	return out, errors.Wrap(err, "get limits of the weight store")
 }
