--- a/pkg/emulator/baseline.go
+++ b/pkg/emulator/baseline.go
@@ -7,95 +7,98 @@
 	"github.com/tealvane/tealvane/pkg/residency"
 )
 
-// Baseline is the plain policy to compare with: models are loaded in the order in
-// which they are due, at the first free endpoint that holds a copy, and the model
-// that has been there longest makes way. It knows nothing of demand.
+// Baseline is a simple policy for comparison. It loads missing models in the order
+// in which their requests are due, on the first free endpoint that has a copy, and
+// evicts the models that have been loaded longest. It ignores demand.
 func Baseline(snap residency.Snapshot) []residency.Swap {
-	b := baseline{snap: snap, models: map[string]residency.Model{}, taken: map[int]bool{}}
+	b := baselinePolicy{snap: snap, models: map[string]residency.Model{}, assigned: map[int]bool{}}
 	for _, m := range snap.Models {
 		b.models[m.Name] = m
 	}
 	var out []residency.Swap
-	for _, m := range b.wanted() {
-		if s, ok := b.place(m); ok {
+	for _, m := range b.missing() {
+		if s, ok := b.plan(m); ok {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-type baseline struct {
-	snap   residency.Snapshot
-	models map[string]residency.Model
-	taken  map[int]bool
-	stores int
+type baselinePolicy struct {
+	snap       residency.Snapshot
+	models     map[string]residency.Model
+	assigned   map[int]bool
+	storeLoads int
 }
 
-// wanted returns the models that wait and lie nowhere.
-func (b *baseline) wanted() []residency.Model {
-	var list []residency.Model
+// missing returns the models with waiting requests that no endpoint has loaded,
+// sorted by due time.
+func (b *baselinePolicy) missing() []residency.Model {
+	var models []residency.Model
 	for _, m := range b.snap.Models {
-		if m.Waiting > 0 && !b.held(m.Name) {
-			list = append(list, m)
+		if m.Waiting > 0 && !b.loaded(m.Name) {
+			models = append(models, m)
 		}
 	}
-	slices.SortStableFunc(list, func(x, y residency.Model) int { return x.Due.Compare(y.Due) })
-	return list
+	slices.SortStableFunc(models, func(x, y residency.Model) int { return x.Due.Compare(y.Due) })
+	return models
 }
 
-func (b *baseline) held(model string) bool {
+func (b *baselinePolicy) loaded(model string) bool {
 	return slices.ContainsFunc(b.snap.Endpoints, func(e residency.Endpoint) bool {
 		return slices.ContainsFunc(e.Residents, func(r residency.Resident) bool { return r.Model == model && !r.Leaving })
 	})
 }
 
-func (b *baseline) place(m residency.Model) (residency.Swap, bool) {
-	if s, ok := b.at(m, true); ok {
+func (b *baselinePolicy) plan(m residency.Model) (residency.Swap, bool) {
+	if s, ok := b.findEndpoint(m, true); ok {
 		return s, true
 	}
-	if b.stores >= b.snap.Limits.StoreLoads || b.copied(m.Name) {
+	if b.storeLoads >= b.snap.Limits.StoreLoads || b.hasCopy(m.Name) {
 		return residency.Swap{}, false
 	}
-	s, ok := b.at(m, false)
+	s, ok := b.findEndpoint(m, false)
 	if ok {
-		b.stores++
+		b.storeLoads++
 	}
 	return s, ok
 }
 
-func (b *baseline) copied(model string) bool {
+func (b *baselinePolicy) hasCopy(model string) bool {
 	return slices.ContainsFunc(b.snap.Endpoints, func(e residency.Endpoint) bool { return e.Copies[model] > residency.InStore })
 }
 
-// at places a model at the first free endpoint with or without a copy.
-func (b *baseline) at(m residency.Model, copied bool) (residency.Swap, bool) {
+// findEndpoint plans a load of m on the first free endpoint, with withCopy only on
+// one that has a copy of the weights.
+func (b *baselinePolicy) findEndpoint(m residency.Model, withCopy bool) (residency.Swap, bool) {
 	for i, e := range b.snap.Endpoints {
-		if e.Busy || b.taken[i] || copied && e.Copies[m.Name] == residency.InStore {
+		if e.Busy || b.assigned[i] || withCopy && e.Copies[m.Name] == residency.InStore {
 			continue
 		}
 		if evict, ok := b.evict(e, m.WeightsMB); ok {
-			b.taken[i] = true
+			b.assigned[i] = true
 			return residency.Swap{Endpoint: e.ID, Evict: evict, Load: m.Name, From: e.Copies[m.Name]}, true
 		}
 	}
 	return residency.Swap{}, false
 }
 
-// evict returns what has to leave, the oldest first.
-func (b *baseline) evict(e residency.Endpoint, needMB float64) ([]string, bool) {
-	const settle = 150 * time.Millisecond
+// evict returns the models to evict for needMB, oldest first. It reports whether
+// that frees enough memory.
+func (b *baselinePolicy) evict(e residency.Endpoint, needMB float64) ([]string, bool) {
+	const minResidence = 150 * time.Millisecond
 	free := e.CapacityMB - needMB
 	for _, r := range e.Residents {
 		free -= r.MB
 	}
-	list := slices.Clone(e.Residents)
-	slices.SortStableFunc(list, func(x, y residency.Resident) int { return x.Since.Compare(y.Since) })
+	oldestFirst := slices.Clone(e.Residents)
+	slices.SortStableFunc(oldestFirst, func(x, y residency.Resident) int { return x.Since.Compare(y.Since) })
 	var out []string
-	for _, r := range list {
+	for _, r := range oldestFirst {
 		if free >= 0 {
 			break
 		}
-		if !r.Ready || r.Leaving || b.snap.Now.Sub(r.Since) < settle {
+		if !r.Ready || r.Leaving || b.snap.Now.Sub(r.Since) < minResidence {
 			continue
 		}
 		out = append(out, r.Model)
--- a/pkg/emulator/compare.go
+++ b/pkg/emulator/compare.go
@@ -4,23 +4,23 @@
 	"sync"
 )
 
-// Variant is a policy under a name, and what it changes in a scenario.
+// Variant is a named policy with an optional change of the scenario.
 type Variant struct {
 	Name   string
 	Policy Policy
-	// Change adapts the scenario, nil for none.
+	// Change modifies the scenario; it may be nil.
 	Change func(*Scenario)
 }
 
-// Outcome is what a variant came to, over all seeds.
+// Outcome is the result of a variant over all seeds.
 type Outcome struct {
 	Name string `json:"name"`
-	// Mean holds means of all figures, Worths the worth of each seed.
+	// Mean holds the means over all seeds, Worths the worth for each seed.
 	Mean   Mean      `json:"mean"`
 	Worths []float64 `json:"worths"`
 }
 
-// Mean holds figures as means over seeds.
+// Mean holds the figures of Result as means over seeds.
 type Mean struct {
 	Worth      float64     `json:"worth"`
 	Loads      float64     `json:"loads"`
@@ -28,7 +28,7 @@
 	Classes    []ClassMean `json:"classes"`
 }
 
-// ClassMean holds the figures of a class as means over seeds.
+// ClassMean holds the figures of ClassResult as means over seeds.
 type ClassMean struct {
 	Name     string  `json:"name"`
 	Asked    float64 `json:"asked"`
@@ -39,22 +39,22 @@
 	TailMS   float64 `json:"tail_ms"`
 }
 
-// Compare plays a scenario with each variant on the same seeds, from 1 on.
+// Compare simulates a scenario with each variant on the same seeds, starting at 1.
 func Compare(s Scenario, variants []Variant, seeds int) []Outcome {
 	out := make([]Outcome, len(variants))
-	var plays sync.WaitGroup
+	var runs sync.WaitGroup
 	for i, v := range variants {
 		results := make([]Result, seeds)
 		for seed := range seeds {
-			plays.Go(func() {
-				own := s
+			runs.Go(func() {
+				scenario := s
 				if v.Change != nil {
-					v.Change(&own)
+					v.Change(&scenario)
 				}
-				results[seed] = Play(own, v.Policy, uint64(seed+1))
+				results[seed] = Play(scenario, v.Policy, uint64(seed+1))
 			})
 		}
-		plays.Wait()
+		runs.Wait()
 		out[i] = Outcome{Name: v.Name, Mean: mean(results)}
 		for _, r := range results {
 			out[i].Worths = append(out[i].Worths, r.Worth)
@@ -74,13 +74,13 @@
 			if i == len(m.Classes) {
 				m.Classes = append(m.Classes, ClassMean{Name: c.Name})
 			}
-			x := &m.Classes[i]
-			x.Asked += float64(c.Asked) / n
-			x.InTime += float64(c.InTime) / n
-			x.Late += float64(c.Late) / n
-			x.Refused += float64(c.Refused) / n
-			x.MedianMS += float64(c.Median) / n
-			x.TailMS += float64(c.Tail) / n
+			stats := &m.Classes[i]
+			stats.Asked += float64(c.Asked) / n
+			stats.InTime += float64(c.InTime) / n
+			stats.Late += float64(c.Late) / n
+			stats.Refused += float64(c.Refused) / n
+			stats.MedianMS += float64(c.Median) / n
+			stats.TailMS += float64(c.Tail) / n
 		}
 	}
 	return m
--- a/pkg/emulator/dispatch.go
+++ b/pkg/emulator/dispatch.go
@@ -7,79 +7,81 @@
 	"github.com/tealvane/tealvane/pkg/serve"
 )
 
-// dispatch gives waiting requests places, and refuses those that are not held.
-func (w *world) dispatch() {
-	slices.SortStableFunc(w.waiting, func(a, b *request) int { return a.Aim().Compare(b.Aim()) })
-	w.waiting = slices.DeleteFunc(w.waiting, func(r *request) bool {
-		if e := w.pick(r.model.name); e != nil {
-			w.run(e, r)
+// dispatch starts waiting requests on endpoints with a free slot. Of the others it
+// refuses those that are not worth holding.
+func (sim *simulation) dispatch() {
+	slices.SortStableFunc(sim.waiting, func(a, b *request) int { return a.Aim().Compare(b.Aim()) })
+	sim.waiting = slices.DeleteFunc(sim.waiting, func(r *request) bool {
+		if e := sim.pickEndpoint(r.model.name); e != nil {
+			sim.startRun(e, r)
 			return true
 		}
-		return w.refuse(r)
+		return sim.refuseUnlessHeld(r)
 	})
 }
 
-func (w *world) pick(name string) *endpoint {
-	slots := int(float64(w.scenario.Fleet.Slots) * overcommit)
+func (sim *simulation) pickEndpoint(name string) *endpoint {
+	slots := int(float64(sim.scenario.Fleet.Slots) * overcommitFactor)
 	var best *endpoint
-	for _, e := range w.endpoints {
-		if e.serves(w.now, name, slots) && (best == nil || e.running < best.running) {
+	for _, e := range sim.endpoints {
+		if e.canServe(sim.now, name, slots) && (best == nil || e.running < best.running) {
 			best = e
 		}
 	}
 	return best
 }
 
-func (w *world) run(e *endpoint, r *request) {
+func (sim *simulation) startRun(e *endpoint, r *request) {
 	c := r.model.class
 	e.running++
-	e.holds[r.model.name].running++
-	// The batch shares the endpoint: a full one takes twice as long.
-	share := 1 + float64(e.running)/float64(w.scenario.Fleet.Slots)
-	w.runs = append(w.runs, running{w.now.Add(time.Duration(float64(c.Run) * share)), e, r.model.name})
-	took := w.now.Add(firstToken).Sub(r.first)
-	x := w.result.of(c)
-	x.waits = append(x.waits, took)
-	if took <= c.Objective {
-		x.InTime++
+	e.loaded[r.model.name].running++
+	// Requests share the endpoint: with all slots in use each takes twice as long.
+	slowdown := 1 + float64(e.running)/float64(sim.scenario.Fleet.Slots)
+	sim.active = append(sim.active, activeRun{sim.now.Add(time.Duration(float64(c.Run) * slowdown)), e, r.model.name})
+	wait := sim.now.Add(firstToken).Sub(r.first)
+	stats := sim.result.statsOf(c)
+	stats.waits = append(stats.waits, wait)
+	if wait <= c.Objective {
+		stats.InTime++
 	} else {
-		x.Late++
+		stats.Late++
 	}
 }
 
-// refuse refuses a request that is not held, and tells whether it did.
-func (w *world) refuse(r *request) bool {
-	s := serve.Situation{Now: w.now, Known: true, FarUntil: w.far[r.model.name]}
-	for _, e := range w.endpoints {
-		held := e.holds[r.model.name]
+// refuseUnlessHeld refuses a request that should not be held, and reports whether
+// it did. A request is retried after its first refusal.
+func (sim *simulation) refuseUnlessHeld(r *request) bool {
+	situation := serve.Situation{Now: sim.now, Known: true, FarUntil: sim.farUntil[r.model.name]}
+	for _, e := range sim.endpoints {
+		replica := e.loaded[r.model.name]
 		switch {
-		case held == nil || held.leaving:
-		case !held.readyAt.After(w.now):
-			s.Ready = true
-		case s.ComingAt.IsZero() || held.readyAt.Before(s.ComingAt):
-			s.ComingAt = held.readyAt
+		case replica == nil || replica.leaving:
+		case !replica.readyAt.After(sim.now):
+			situation.Ready = true
+		case situation.ComingAt.IsZero() || replica.readyAt.Before(situation.ComingAt):
+			situation.ComingAt = replica.readyAt
 		}
 	}
-	_, retryAfter, hold := serve.Hold(r.Request, s)
+	_, retryAfter, hold := serve.Hold(r.Request, situation)
 	if hold {
 		return false
 	}
-	if r.again {
-		x := w.result.of(r.model.class)
-		x.Refused++
-		x.Held += heldCost(w.now.Sub(r.first), r.model.class)
+	if r.retried {
+		stats := sim.result.statsOf(r.model.class)
+		stats.Refused++
+		stats.Held += holdCost(sim.now.Sub(r.first), r.model.class)
 		return true
 	}
-	r.again = true
-	r.Arrived = w.now.Add(retryAfter)
-	w.returning = append(w.returning, r)
+	r.retried = true
+	r.Arrived = sim.now.Add(retryAfter)
+	sim.retrying = append(sim.retrying, r)
 	return true
 }
 
-// heldCost is what a client loses that waits and is refused at last, as a part of
-// the worth of an answer.
-func heldCost(held time.Duration, c *Class) float64 {
-	const free, all = 0.125, 0.75
-	from, to := free*c.Objective.Seconds(), all*c.Budget.Seconds()
-	return min(1, max(0, (held.Seconds()-from)/(to-from)))
+// holdCost returns the cost of holding a request that is then refused, as a
+// fraction of the worth of a response.
+func holdCost(held time.Duration, c *Class) float64 {
+	const freeShare, fullShare = 0.125, 0.75
+	freeUntil, fullFrom := freeShare*c.Objective.Seconds(), fullShare*c.Budget.Seconds()
+	return min(1, max(0, (held.Seconds()-freeUntil)/(fullFrom-freeUntil)))
 }
--- a/pkg/emulator/endpoint.go
+++ b/pkg/emulator/endpoint.go
@@ -9,73 +9,76 @@
 )
 
 const (
-	// unloadTime is how long an endpoint takes to unload an idle model.
+	// unloadTime is the time to unload an idle model.
 	unloadTime = 62 * time.Millisecond
-	// orderTrip is the time of an order on its way.
-	orderTrip = 3 * time.Millisecond
+	// orderLatency is the network latency of an order.
+	orderLatency = 3 * time.Millisecond
 )
 
-// endpoint is a model of one endpoint.
+// endpoint simulates one endpoint.
 type endpoint struct {
-	id    fleet.EndpointID
-	zone  string
-	holds map[string]*resident
-	// disk and memory name the copies it keeps, the last used one at the end.
-	disk   []string
-	memory []string
-	swap   *swap
-	// running is the number of requests that run.
+	id     fleet.EndpointID
+	zone   string
+	loaded map[string]*loadedModel
+	// diskCopies and memoryCopies name the cached copies, most recently used last.
+	diskCopies   []string
+	memoryCopies []string
+	swap         *swap
+	// running is the number of requests in progress.
 	running int
 }
 
-type resident struct {
+type loadedModel struct {
 	readyAt time.Time
 	leaving bool
 	running int
 }
 
-// swap is a swap under way.
+// swap is a swap in progress: it evicts models and then loads one.
 type swap struct {
 	evict []string
 	load  string
-	// next is when the present step ends; loading tells that it is the load.
-	next    time.Time
-	loading bool
+	// stepEnds is when the current step ends. loading is set while that step is
+	// the load.
+	stepEnds time.Time
+	loading  bool
 }
 
-// touch notes the use of a copy in a list of limited length.
-func touch(list []string, model string, most int) []string {
+// touch moves or adds a model to the end of an LRU list and drops the least
+// recently used entries beyond limit.
+func touch(list []string, model string, limit int) []string {
 	if i := slices.Index(list, model); i >= 0 {
 		list = slices.Delete(list, i, i+1)
 	}
 	list = append(list, model)
-	if len(list) > most {
-		list = list[len(list)-most:]
+	if len(list) > limit {
+		list = list[len(list)-limit:]
 	}
 	return list
 }
 
 func (e *endpoint) tier(model string) residency.Tier {
 	switch {
-	case slices.Contains(e.memory, model):
+	case slices.Contains(e.memoryCopies, model):
 		return residency.InMemory
-	case slices.Contains(e.disk, model):
+	case slices.Contains(e.diskCopies, model):
 		return residency.OnDisk
 	default:
 		return residency.InStore
 	}
 }
 
-// serves tells whether the endpoint has the model and a place for a request.
-func (e *endpoint) serves(now time.Time, model string, slots int) bool {
-	r := e.holds[model]
+// canServe reports whether the endpoint has the model loaded and a free slot.
+func (e *endpoint) canServe(now time.Time, model string, slots int) bool {
+	r := e.loaded[model]
 	return r != nil && !r.leaving && !r.readyAt.After(now) && e.running < slots
 }
 
-// step carries a swap on. It returns the model whose load begins, if one does.
-func (e *endpoint) step(now time.Time) (begins string) {
+// advance advances the swap in progress. It returns the model whose load starts
+// now, or "".
+func (e *endpoint) advance(now time.Time) (loadStarted string) {
 	s := e.swap
-	if s == nil || now.Before(s.next) {
+	if s == nil || now.Before(s.stepEnds) {
 		return ""
 	}
 	if s.loading {
@@ -86,42 +89,42 @@
 		s.loading = true
 		return s.load
 	}
-	// An unload waits for the runs of its model.
-	if r := e.holds[s.evict[0]]; r != nil && r.running > 0 {
+	// Unload only after the requests of the model have finished.
+	if r := e.loaded[s.evict[0]]; r != nil && r.running > 0 {
 		return ""
 	}
-	delete(e.holds, s.evict[0])
+	delete(e.loaded, s.evict[0])
 	s.evict = s.evict[1:]
-	s.next = now.Add(unloadTime)
+	s.stepEnds = now.Add(unloadTime)
 	return ""
 }
 
-// snapshot returns the endpoint as decisions see it.
-func (e *endpoint) snapshot(now time.Time, w *world) residency.Endpoint {
+// snapshot returns the state of the endpoint for the policy.
+func (e *endpoint) snapshot(now time.Time, sim *simulation) residency.Endpoint {
 	out := residency.Endpoint{
 		ID:         e.id,
 		Zone:       e.zone,
-		CapacityMB: w.scenario.Fleet.MemoryMB,
+		CapacityMB: sim.scenario.Fleet.MemoryMB,
 		Copies:     map[string]residency.Tier{},
 		Busy:       e.swap != nil,
 	}
-	for _, m := range e.disk {
+	for _, m := range e.diskCopies {
 		out.Copies[m] = residency.OnDisk
 	}
-	for _, m := range e.memory {
+	for _, m := range e.memoryCopies {
 		out.Copies[m] = residency.InMemory
 	}
-	for name, r := range e.holds {
+	for name, r := range e.loaded {
 		out.Residents = append(out.Residents, residency.Resident{
 			Model:   name,
-			MB:      w.models[name].class.WeightsMB,
+			MB:      sim.models[name].class.WeightsMB,
 			Ready:   !r.readyAt.After(now),
 			Since:   r.readyAt,
 			Leaving: r.leaving,
 		})
 	}
 	if e.swap != nil && !e.swap.loading {
-		out.Residents = append(out.Residents, residency.Resident{Model: e.swap.load, MB: w.models[e.swap.load].class.WeightsMB})
+		out.Residents = append(out.Residents, residency.Resident{Model: e.swap.load, MB: sim.models[e.swap.load].class.WeightsMB})
 	}
 	slices.SortFunc(out.Residents, func(a, b residency.Resident) int {
 		if a.Model < b.Model {
--- /dev/null
+++ b/pkg/emulator/placement.go
@@ -0,0 +1,100 @@
+package emulator
+
+import (
+	"slices"
+	"time"
+
+	"github.com/tealvane/tealvane/pkg/fleet"
+	"github.com/tealvane/tealvane/pkg/residency"
+	"github.com/tealvane/tealvane/pkg/serve"
+)
+
+// decide reports demand to the policy and starts the swaps that it returns.
+func (sim *simulation) decide() {
+	sim.demand.Take(sim.now, sim.demandReport())
+	snap := residency.Snapshot{
+		Now:    sim.now,
+		Models: sim.demand.Models(sim.now, sim.service()),
+		Limits: residency.Limits{
+			Slots:          sim.scenario.Fleet.Slots,
+			RatePerReplica: sim.scenario.Fleet.RatePerReplica,
+		},
+	}
+	for _, e := range sim.endpoints {
+		snap.Endpoints = append(snap.Endpoints, e.snapshot(sim.now, sim))
+	}
+	storeSlots := residency.StoreSlots(snap.Endpoints, sim.scenario.Fleet.StoreSlots)
+	snap.Limits.StoreLoads = storeSlots - sim.storeLoads()
+	sim.farUntil = map[string]time.Time{}
+	for _, f := range residency.Far(snap, sim.storeLoads(), storeSlots) {
+		sim.farUntil[f.Model] = sim.now.Add(f.ReadyIn)
+	}
+	for _, s := range sim.policy(snap) {
+		sim.startSwap(s)
+	}
+}
+
+func (sim *simulation) storeLoads() int {
+	n := 0
+	for _, until := range sim.storeLoadEnds {
+		if until.After(sim.now) {
+			n++
+		}
+	}
+	return n
+}
+
+func (sim *simulation) startSwap(s residency.Swap) {
+	i := slices.IndexFunc(sim.endpoints, func(e *endpoint) bool { return e.id == s.Endpoint })
+	e := sim.endpoints[i]
+	for _, v := range s.Evict {
+		e.loaded[v].leaving = true
+	}
+	e.swap = &swap{evict: s.Evict, load: s.Load, stepEnds: sim.now.Add(orderLatency)}
+}
+
+// service returns the configuration of the simulated service.
+func (sim *simulation) service() fleet.Service {
+	models := make(map[string]fleet.Model, len(sim.models))
+	for name, m := range sim.models {
+		models[name] = m.fleet
+	}
+	return fleet.Service{Name: service, Engine: &fleet.Engine{Slots: sim.scenario.Fleet.Slots, WeightsMB: sim.scenario.Fleet.MemoryMB, Models: models}}
+}
+
+// demandReport returns the demand that the single entry host reports.
+func (sim *simulation) demandReport() fleet.DemandReport {
+	byModel := map[string]*fleet.NeedReport{}
+	needOf := func(name string) *fleet.NeedReport {
+		if byModel[name] == nil {
+			byModel[name] = &fleet.NeedReport{Service: service, Model: name}
+		}
+		return byModel[name]
+	}
+	for name, n := range sim.arrivals {
+		needOf(name).Arrived = n
+	}
+	clear(sim.arrivals)
+	for _, r := range sim.active {
+		needOf(r.model).Inflight++
+	}
+	for _, r := range sim.waiting {
+		n := needOf(r.model.name)
+		due, inTime := serve.Due(r.Request, sim.now)
+		dueIn := due.Sub(sim.now).Milliseconds()
+		if n.Waiting == 0 || inTime && n.InTime == 0 || inTime == (n.InTime > 0) && dueIn < n.DueIn {
+			n.DueIn = dueIn
+		}
+		n.Waiting++
+		if inTime {
+			n.InTime++
+		}
+	}
+	demandReport := fleet.DemandReport{Host: "h"}
+	for _, name := range sim.names {
+		if n := byModel[name]; n != nil {
+			demandReport.Needs = append(demandReport.Needs, *n)
+		}
+	}
+	return demandReport
+}
--- a/pkg/emulator/result.go
+++ b/pkg/emulator/result.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// Result is what clients saw in a play.
+// Result holds the figures of one simulation.
 type Result struct {
 	Classes []ClassResult `json:"classes"`
-	// Loads counts all loads of models, StoreLoads those from the weight store.
+	// Loads counts all model loads, StoreLoads those from the weight store.
 	Loads      int `json:"loads"`
 	StoreLoads int `json:"store_loads"`
-	// Worth is what was earned of what was asked for, from 0 to 1.
+	// Worth is the worth earned, as a fraction of the worth of all requests.
 	Worth float64 `json:"worth"`
 }
 
-// ClassResult is what the clients of one class saw.
+// ClassResult holds the figures of one class.
 type ClassResult struct {
 	Name    string `json:"name"`
 	Asked   int    `json:"asked"`
 	InTime  int    `json:"in_time"`
 	Late    int    `json:"late"`
 	Refused int    `json:"refused"`
-	// Held is the sum of what refused requests cost: each from 0, refused at once,
-	// to 1, held for three quarters of its client's time.
+	// Held is the sum of the costs of refused requests. The cost of each ranges from
+	// 0, refused at once, to 1, held for most of the client's budget.
 	Held float64 `json:"held"`
-	// Median and Tail are the 50th and 95th percentile of the time to the first
-	// token, in milliseconds.
+	// Median and Tail are the 50th and 95th percentiles of the time to first token
+	// in milliseconds.
 	Median int64 `json:"median_ms"`
 	Tail   int64 `json:"tail_ms"`
 
 	waits []time.Duration
 }
 
-func (r *Result) of(c *Class) *ClassResult {
+func (r *Result) statsOf(c *Class) *ClassResult {
 	i := slices.IndexFunc(r.Classes, func(x ClassResult) bool { return x.Name == c.Name })
 	return &r.Classes[i]
 }
 
-// finish works out the figures that need the whole play.
+// finish computes the worth and the percentiles after the simulation.
 func (r *Result) finish(s Scenario) {
 	earned, asked := 0.0, 0.0
 	for i, c := range s.Classes {
-		x := &r.Classes[i]
-		earned += float64(x.InTime)*c.Worth + float64(x.Late)*c.LateWorth - x.Held*c.Worth
-		asked += float64(x.Asked) * c.Worth
-		slices.Sort(x.waits)
-		if n := len(x.waits); n > 0 {
-			x.Median = x.waits[n/2].Milliseconds()
-			x.Tail = x.waits[n*95/100].Milliseconds()
+		stats := &r.Classes[i]
+		earned += float64(stats.InTime)*c.Worth + float64(stats.Late)*c.LateWorth - stats.Held*c.Worth
+		asked += float64(stats.Asked) * c.Worth
+		slices.Sort(stats.waits)
+		if n := len(stats.waits); n > 0 {
+			stats.Median = stats.waits[n/2].Milliseconds()
+			stats.Tail = stats.waits[n*95/100].Milliseconds()
 		}
 	}
 	if asked > 0 {
--- a/pkg/emulator/scenario.go
+++ b/pkg/emulator/scenario.go
@@ -1,10 +1,10 @@
-// Package emulator plays load and trouble in virtual time against a model of
-// endpoints, weight store and clients. The decisions it drives are the real
-// ones: placement, demand, and when a request is held or refused. It answers
-// which of two policies serves a load better, in a second and repeatably.
+// Package emulator simulates load and failures in virtual time against models of
+// endpoints, the weight store and clients. It runs the production code for
+// placement, demand, and holding or refusing requests, so that placement policies
+// and settings can be compared. Results are deterministic for a seed.
 //
-// What it leaves out: the network, adapters, prompt caches, the pace of single
-// tokens, and hosts that know different things.
+// It does not model the network, adapters, prompt caches, the rate of tokens, or
+// entry hosts with different state.
 package emulator
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/tealvane/tealvane/pkg/yamlx"
 )
 
-// Scenario is a load and its troubles.
+// Scenario describes a fleet, its load and the events during a simulation.
 type Scenario struct {
 	Name     string        `yaml:"name"`
 	Duration time.Duration `yaml:"duration"`
@@ -25,82 +25,85 @@
 	Events   []Event       `yaml:"events"`
 }
 
-// Fleet describes the endpoints, which are all alike.
+// Fleet describes the endpoints, which all have the same size.
 type Fleet struct {
 	Endpoints int `yaml:"endpoints"`
-	// Zones is the number of availability zones that they are spread over.
+	// Zones is the number of availability zones that the endpoints are spread over.
 	Zones int `yaml:"availability_zones"`
-	// MemoryMB is the accelerator memory of one endpoint for weights.
+	// MemoryMB is the accelerator memory for weights of one endpoint.
 	MemoryMB float64 `yaml:"memory_mb"`
-	// Slots is the number of requests that an endpoint runs at once.
+	// Slots is the number of concurrent requests of one endpoint.
 	Slots int `yaml:"slots"`
-	// DiskCopies and HostCopies are how many models' copies its disk and its host
-	// memory keep.
+	// DiskCopies and HostCopies limit the copies of weights that one endpoint caches
+	// on disk and in host memory.
 	DiskCopies int `yaml:"disk_copies"`
 	HostCopies int `yaml:"host_memory_copies"`
-	// StoreSlots is how many loads the weight store does at full speed.
+	// StoreSlots is the number of concurrent loads that the weight store serves at
+	// full speed.
 	StoreSlots int `yaml:"store_slots"`
-	// RatePerReplica is the setting of the same name of the placement.
+	// RatePerReplica is the placement setting of the same name.
 	RatePerReplica float64 `yaml:"rate_per_replica"`
 }
 
-// Class is a kind of request for models of its own.
+// Class is a group of models with the same size and the same kind of requests.
 type Class struct {
 	Name string `yaml:"name"`
-	// Models is the number of models, Rate the requests a second for all of them
-	// together, Skew the exponent of their popularity: 0 asks for all alike.
+	// Models is the number of models, Rate the requests per second for all of them,
+	// Skew the exponent of their Zipf distribution. With 0 all are equally popular.
 	Models int     `yaml:"models"`
 	Rate   float64 `yaml:"rate"`
 	Skew   float64 `yaml:"skew"`
-	// WeightsMB is the size of each model; the load times are those from the
-	// weight store, an endpoint's disk and its memory.
+	// WeightsMB is the size of each model. StoreLoad, DiskLoad and MemoryLoad are the
+	// load times from the weight store, the endpoint's disk and its host memory.
 	WeightsMB  float64       `yaml:"weights_mb"`
 	StoreLoad  time.Duration `yaml:"store_load"`
 	DiskLoad   time.Duration `yaml:"disk_load"`
 	MemoryLoad time.Duration `yaml:"memory_load"`
-	// Objective is the time to the first token that counts as in time, Budget how
-	// long a client waits in all, Run how long a whole answer takes.
+	// Objective is the target for the time to first token, Budget the client's total
+	// timeout, Run the duration of a request on an idle endpoint.
 	Objective time.Duration `yaml:"objective"`
 	Budget    time.Duration `yaml:"budget"`
 	Run       time.Duration `yaml:"run"`
-	// Worth and LateWorth weigh answers in time and later ones.
+	// Worth and LateWorth are the weights of responses within the objective and of
+	// later ones.
 	Worth     float64 `yaml:"worth"`
 	LateWorth float64 `yaml:"late_worth"`
 }
 
-// EventKind is what happens in an event.
+// EventKind is the kind of an event.
 type EventKind string
 
 // The kinds of events.
 const (
 	// Burst multiplies the rate of a class.
 	Burst EventKind = "burst"
-	// Lose takes endpoints away for good, Replace gives empty ones for them.
+	// Lose removes endpoints permanently, Replace replaces them by empty ones.
 	Lose    EventKind = "lose"
 	Replace EventKind = "replace"
 )
 
-// Event is one trouble.
+// Event is a burst of load or a loss of endpoints.
 type Event struct {
 	Kind EventKind     `yaml:"kind"`
 	At   time.Duration `yaml:"at"`
 	For  time.Duration `yaml:"for"`
-	// Class and Factor are those of a burst, Count the number of endpoints.
+	// Class and Factor are set for a burst. Count is the number of endpoints to lose
+	// or replace.
 	Class  string  `yaml:"class"`
 	Factor float64 `yaml:"factor"`
 	Count  int     `yaml:"count"`
 }
 
-// LoadScenario reads and checks a scenario file. All findings come at once.
+// LoadScenario reads and validates a scenario file. The error lists all findings.
 func LoadScenario(file string) (Scenario, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return Scenario{}, errors.Wrap(err, "scenario")
+		return Scenario{}, errors.Wrap(err, "read scenario")
 	}
 	return ParseScenario(file, data)
 }
 
-// ParseScenario decodes and checks a scenario; file names it in findings.
+// ParseScenario decodes and validates a scenario. Findings name it by file.
 func ParseScenario(file string, data []byte) (Scenario, error) {
 	var s Scenario
 	doc := yamlx.Decode(file, data, &s)
