--- a/pkg/finding/finding.go
+++ b/pkg/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects everything that is wrong with an input, each item
-// with its place, so that a caller can report all of it at once.
+// Package finding defines validation errors with their position in an input. They
+// are collected in a list, so that all of them can be reported at once.
 package finding
 
 import (
@@ -7,15 +7,14 @@
 	"strings"
 )
 
-// Finding is one fault of an input.
+// Finding is one validation error.
 type Finding struct {
 	// File names the input; it may be empty.
 	File string
-	// Line is 1-based; 0 means the place is unknown.
+	// Line is 1-based; 0 means that the line is unknown.
 	Line int
-	// Field is the path of the faulty field, for example "models[0].max_replicas".
-	Field string
-	// Message says what is wrong.
+	// Field is the path of the invalid field, for example "models[0].max_replicas".
+	Field   string
 	Message string
 }
 
@@ -43,7 +42,7 @@
 // List is an ordered collection of findings. A non-empty List is an error.
 type List []Finding
 
-// Error joins all findings, one a line.
+// Error returns all findings, one per line.
 func (l List) Error() string {
 	lines := make([]string, len(l))
 	for i, f := range l {
