--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the operators' command line.
+// Package cli implements the tealvane command for operators.
 package cli
 
 import (
@@ -17,24 +17,25 @@
 	"github.com/tealvane/tealvane/pkg/peer"
 )
 
-// output is where commands write.
+// output holds the writers of a command.
 type output struct {
 	out, err io.Writer
 }
 
-// fail reports an error and returns the exit status for it.
+// fail prints an error and returns the exit status for a failure.
 func (o output) fail(err error) subcommands.ExitStatus {
 	fmt.Fprintln(o.err, err)
 	return subcommands.ExitFailure
 }
 
-func (o output) usage(format string, args ...any) subcommands.ExitStatus {
+// usageError prints a message and returns the exit status for wrong usage.
+func (o output) usageError(format string, args ...any) subcommands.ExitStatus {
 	fmt.Fprintf(o.err, format+"\n", args...)
 	return subcommands.ExitUsageError
 }
 
-// Run runs one command and returns its exit code: 0 for success, 1 for a
-// failure or findings, 2 for wrong usage.
+// Run executes one command and returns its exit code: 0 for success, 1 for a failure
+// or findings, 2 for wrong usage.
 func Run(args []string, out, errOut io.Writer) int {
 	o := output{out, errOut}
 	flags := flag.NewFlagSet("tealvane", flag.ContinueOnError)
@@ -93,13 +94,13 @@
 func (c *devCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.callers, "listen", "127.0.0.1:7001", "address for callers")
 	f.StringVar(&c.operators, "operators", "127.0.0.1:7101", "address for operators")
-	f.BoolVar(&c.platform, "platform", false, "run the path on the users' platform, with stand-ins of it")
+	f.BoolVar(&c.platform, "platform", false, "run tealvane-gateway, with stand-ins of its platform")
 }
 
 // Execute implements subcommands.Command.
 func (c *devCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.platform {
-		return c.onPlatform(ctx)
+		return c.runPlatform(ctx)
 	}
 	err := dev.Run(ctx, dev.Options{
 		Callers:   c.callers,
@@ -114,7 +115,7 @@
 	return subcommands.ExitSuccess
 }
 
-func (c *devCommand) onPlatform(ctx context.Context) subcommands.ExitStatus {
+func (c *devCommand) runPlatform(ctx context.Context) subcommands.ExitStatus {
 	err := dev.RunPlatform(ctx, dev.Options{
 		Callers: c.callers,
 		Out:     c.out,
@@ -144,7 +145,7 @@
 // Execute implements subcommands.Command.
 func (c *certsCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if c.dir == "" {
-		return c.usage("dev-certs: -dir is required")
+		return c.usageError("dev-certs: -dir is required")
 	}
 	id, err := peer.NewDevIdentity(time.Now())
 	if err != nil {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -15,7 +15,7 @@
 	"github.com/tealvane/tealvane/internal/standin/site"
 )
 
-// run returns the exit code and what was printed.
+// run executes a command and returns its exit code and output.
 func run(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = Run(args, &o, &e)
@@ -37,8 +37,8 @@
 	code, out, _ = run("version")
 	is.Equal(code, 0)
 	is.True(strings.HasPrefix(out, "tealvane "))
-	for _, wrong := range [][]string{{}, {"unknown"}, {"contract"}, {"contract", "check"}, {"contract", "publish", "x"}, {"call"}, {"dev-certs"}, {"-flag"}} {
-		code, _, _ = run(wrong...)
+	for _, args := range [][]string{{}, {"unknown"}, {"contract"}, {"contract", "check"}, {"contract", "publish", "x"}, {"call"}, {"dev-certs"}, {"-flag"}} {
+		code, _, _ = run(args...)
 		is.Equal(code, 2)
 	}
 	code, _, errOut = run("status", "-operators", "http://127.0.0.1:1")
@@ -46,9 +46,9 @@
 	is.True(errOut != "")
 }
 
-// The development mode serves a cold and a warm request, and ends by itself
-// when it is asked to.
-func TestDevelopmentMode(t *testing.T) {
+// Checks that the development mode serves a call to a model that is not loaded, a
+// second call and a plain service, and returns when its context is canceled.
+func TestDevServesCallsAndStops(t *testing.T) {
 	is := is.New(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -90,9 +90,9 @@
 	is.NoErr(<-done)
 }
 
-// The development mode on the platform serves a model that is not loaded, and
-// ends by itself when it is asked to.
-func TestDevelopmentModeOnThePlatform(t *testing.T) {
+// Checks that the gateway's development mode rejects a call without a key, serves a
+// model that is not loaded, and returns when its context is canceled.
+func TestDevPlatformLoadsModelAndStops(t *testing.T) {
 	is := is.New(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -114,7 +114,7 @@
 	resp, err := http.DefaultClient.Do(req)
 	is.NoErr(err)
 	is.NoErr(resp.Body.Close())
-	is.Equal(resp.StatusCode, http.StatusUnauthorized) // it has no key
+	is.Equal(resp.StatusCode, http.StatusUnauthorized) // no X-Key
 	req.Header.Set("X-Key", site.DevKey)
 	req.Body, err = req.GetBody()
 	is.NoErr(err)
--- a/internal/cli/contract.go
+++ b/internal/cli/contract.go
@@ -15,42 +15,43 @@
 	"github.com/tealvane/tealvane/pkg/finding"
 )
 
-// target is the entry host that a command talks to.
-type target struct {
+// operatorClient holds the flags that select the operators' API of an entry host.
+type operatorClient struct {
 	url   string
 	token string
 }
 
-func (t *target) setFlags(f *flag.FlagSet) {
+func (t *operatorClient) setFlags(f *flag.FlagSet) {
 	f.StringVar(&t.url, "operators", "http://127.0.0.1:7101", "operators' URL of an entry host")
 	f.StringVar(&t.token, "token", os.Getenv("TEALVANE_OPERATOR_TOKEN"), "operators' token")
 }
 
 // Bearer implements operators.SecuritySource.
-func (t *target) Bearer(context.Context, operators.OperationName) (operators.Bearer, error) {
+func (t *operatorClient) Bearer(context.Context, operators.OperationName) (operators.Bearer, error) {
 	if t.token == "" {
-		// An interface on a loopback address takes any token, but wants one.
+		// On a loopback address the API accepts any token, but requires one.
 		return operators.Bearer{Token: "none"}, nil
 	}
 	return operators.Bearer{Token: t.token}, nil
 }
 
-func (t *target) client() (*operators.Client, error) {
+func (t *operatorClient) client() (*operators.Client, error) {
 	return operators.NewClient(t.url, t)
 }
 
-// describe adds the findings that a host returned.
-func describe(file string, err error) error {
+// withFindings returns the findings in an error response, or its message. Other
+// errors are returned unchanged.
+func withFindings(file string, err error) error {
 	var status *operators.ErrorStatusCode
 	if !errors.As(err, &status) {
 		return err
 	}
-	var found finding.List
+	var findings finding.List
 	for _, f := range status.Response.Findings {
-		found = append(found, finding.Finding{File: file, Line: f.Line, Field: f.Field, Message: f.Message})
+		findings = append(findings, finding.Finding{File: file, Line: f.Line, Field: f.Field, Message: f.Message})
 	}
-	if len(found) > 0 {
-		return found
+	if len(findings) > 0 {
+		return findings
 	}
 	return errors.New(status.Response.Message)
 }
@@ -66,15 +67,15 @@
 func (c *contractCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	flags := flag.NewFlagSet("contract", flag.ContinueOnError)
 	flags.SetOutput(c.err)
-	verbs := newCommander(flags, "tealvane contract", c.output)
-	verbs.Register(&checkCommand{output: c.output}, "")
-	verbs.Register(&publishCommand{output: c.output}, "")
-	verbs.Register(&listCommand{output: c.output}, "")
-	verbs.Register(&showCommand{output: c.output}, "")
+	commander := newCommander(flags, "tealvane contract", c.output)
+	commander.Register(&checkCommand{output: c.output}, "")
+	commander.Register(&publishCommand{output: c.output}, "")
+	commander.Register(&listCommand{output: c.output}, "")
+	commander.Register(&showCommand{output: c.output}, "")
 	if err := flags.Parse(f.Args()); err != nil {
 		return subcommands.ExitUsageError
 	}
-	return verbs.Execute(ctx)
+	return commander.Execute(ctx)
 }
 
 type checkCommand struct{ output }
@@ -87,7 +88,7 @@
 // Execute implements subcommands.Command.
 func (c *checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return c.usage("contract check: one file is expected")
+		return c.usageError("contract check: one file is expected")
 	}
 	if _, _, err := readContract(f.Arg(0)); err != nil {
 		return c.fail(err)
@@ -107,7 +108,7 @@
 
 type publishCommand struct {
 	output
-	target
+	operatorClient
 	base int64
 }
 
@@ -126,7 +127,7 @@
 // Execute implements subcommands.Command.
 func (c *publishCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 || c.base < 0 {
-		return c.usage("contract publish: -base and one file are expected")
+		return c.usageError("contract publish: -base and one file are expected")
 	}
 	parsed, data, err := readContract(f.Arg(0))
 	if err != nil {
@@ -140,7 +141,7 @@
 		&operators.Publication{BaseVersion: c.base, Document: string(data)},
 		operators.PublishContractParams{Customer: parsed.Customer})
 	if err != nil {
-		return c.fail(describe(f.Arg(0), err))
+		return c.fail(withFindings(f.Arg(0), err))
 	}
 	fmt.Fprintf(c.out, "%s: version %d is in force (offset %d)\n", out.Customer, out.Version, out.Offset)
 	return subcommands.ExitSuccess
@@ -148,7 +149,7 @@
 
 type listCommand struct {
 	output
-	target
+	operatorClient
 	format string
 }
 
@@ -170,10 +171,10 @@
 	}
 	list, err := client.ListContracts(ctx)
 	if err != nil {
-		return c.fail(describe("", err))
+		return c.fail(withFindings("", err))
 	}
 	if c.format == "json" {
-		return c.json(list)
+		return c.writeJSON(list)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CUSTOMER\tVERSION\tOFFSET")
@@ -183,7 +184,7 @@
 	return c.flush(w)
 }
 
-func (o output) json(v any) subcommands.ExitStatus {
+func (o output) writeJSON(v any) subcommands.ExitStatus {
 	enc := json.NewEncoder(o.out)
 	enc.SetIndent("", "  ")
 	if err := enc.Encode(v); err != nil {
@@ -201,7 +202,7 @@
 
 type showCommand struct {
 	output
-	target
+	operatorClient
 }
 
 func (*showCommand) Name() string     { return "show" }
@@ -214,7 +215,7 @@
 // Execute implements subcommands.Command.
 func (c *showCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return c.usage("contract show: one customer is expected")
+		return c.usageError("contract show: one customer is expected")
 	}
 	client, err := c.client()
 	if err != nil {
@@ -222,7 +223,7 @@
 	}
 	out, err := client.GetContract(ctx, operators.GetContractParams{Customer: f.Arg(0)})
 	if err != nil {
-		return c.fail(describe("", err))
+		return c.fail(withFindings("", err))
 	}
 	fmt.Fprintf(c.out, "# version %d\n%s", out.Version, out.Document)
 	return subcommands.ExitSuccess
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -15,7 +15,7 @@
 	"github.com/tealvane/tealvane/pkg/residency"
 )
 
-// experimentCommand compares policies and settings on an emulated deployment.
+// experimentCommand compares placement policies and settings in the emulator.
 type experimentCommand struct {
 	output
 	scenario string
@@ -50,7 +50,7 @@
 // Execute implements subcommands.Command.
 func (c *experimentCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	if c.scenario == "" || c.seeds < 1 {
-		return c.usage("experiment needs -scenario and a positive number of seeds")
+		return c.usageError("experiment needs -scenario and a positive number of seeds")
 	}
 	s, err := emulator.LoadScenario(c.scenario)
 	if err != nil {
@@ -83,10 +83,10 @@
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "variant\tworth\tloads\tfrom store\tclass\tasked\tin time\tlate\trefused\tmedian ms\tp95 ms")
 	for _, o := range outcomes {
-		head := fmt.Sprintf("%s\t%.3f\t%.0f\t%.0f", o.Name, o.Mean.Worth, o.Mean.Loads, o.Mean.StoreLoads)
-		for _, x := range o.Mean.Classes {
-			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\n", head, x.Name, x.Asked, x.InTime, x.Late, x.Refused, x.MedianMS, x.TailMS)
-			head = "\t\t\t"
+		prefix := fmt.Sprintf("%s\t%.3f\t%.0f\t%.0f", o.Name, o.Mean.Worth, o.Mean.Loads, o.Mean.StoreLoads)
+		for _, class := range o.Mean.Classes {
+			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\n", prefix, class.Name, class.Asked, class.InTime, class.Late, class.Refused, class.MedianMS, class.TailMS)
+			prefix = "\t\t\t"
 		}
 	}
 	if err := w.Flush(); err != nil {
@@ -95,14 +95,14 @@
 	return subcommands.ExitSuccess
 }
 
-// setting is one setting of a scenario with a value to try.
-type setting struct {
+// settingValue is a scenario setting with the value to use instead.
+type settingValue struct {
 	name  string
 	value float64
 }
 
-// settable are the settings that -with takes.
-var settable = []struct {
+// settings lists the settings that -with accepts.
+var settings = []struct {
 	name string
 	set  func(*emulator.Scenario, float64)
 }{
@@ -115,43 +115,43 @@
 
 func settingNames() []string {
 	var names []string
-	for _, s := range settable {
+	for _, s := range settings {
 		names = append(names, s.name)
 	}
 	return names
 }
 
 // String implements fmt.Stringer.
-func (s setting) String() string {
+func (s settingValue) String() string {
 	return s.name + "=" + strconv.FormatFloat(s.value, 'f', -1, 64)
 }
 
-func (s setting) apply(to *emulator.Scenario) {
-	for _, x := range settable {
+func (s settingValue) apply(scenario *emulator.Scenario) {
+	for _, x := range settings {
 		if x.name == s.name {
-			x.set(to, s.value)
+			x.set(scenario, s.value)
 		}
 	}
 }
 
 // settingsFlag collects -with flags.
-type settingsFlag []setting
+type settingsFlag []settingValue
 
 // String implements flag.Value.
-func (f *settingsFlag) String() string { return fmt.Sprint([]setting(*f)) }
+func (f *settingsFlag) String() string { return fmt.Sprint([]settingValue(*f)) }
 
 // Set implements flag.Value.
 func (f *settingsFlag) Set(text string) error {
 	name, value, _ := strings.Cut(text, "=")
 	v, err := strconv.ParseFloat(value, 64)
 	if err != nil || v <= 0 {
-		return errors.Newf("%s needs a positive number", name)
+		return errors.Newf("setting %q must be a positive number, got %q", name, value)
 	}
-	for _, x := range settable {
+	for _, x := range settings {
 		if x.name == name {
-			*f = append(*f, setting{name, v})
+			*f = append(*f, settingValue{name, v})
 			return nil
 		}
 	}
-	return errors.Newf("there is no setting %q; there are %s", name, strings.Join(settingNames(), ", "))
+	return errors.Newf("unknown setting %q, want one of %s", name, strings.Join(settingNames(), ", "))
 }
--- a/internal/cli/experiment_test.go
+++ b/internal/cli/experiment_test.go
@@ -12,7 +12,7 @@
 	"github.com/tealvane/tealvane/pkg/emulator"
 )
 
-// shortScenario plays in a moment.
+// shortScenario is small, so that the test is fast.
 const shortScenario = `
 name: short
 duration: 2s
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -22,7 +22,7 @@
 
 type statusCommand struct {
 	output
-	target
+	operatorClient
 	format string
 }
 
@@ -44,10 +44,10 @@
 	}
 	s, err := client.GetStatus(ctx)
 	if err != nil {
-		return c.fail(describe("", err))
+		return c.fail(withFindings("", err))
 	}
 	if c.format == "json" {
-		return c.json(s)
+		return c.writeJSON(s)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "KIND\tNAME\tWHERE\tSTATE\tDETAIL")
@@ -59,15 +59,15 @@
 	row := func(kind, name, where, state, detail string) {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", kind, name, where, state, detail)
 	}
-	row("log", "", s.Host, choose(s.Log.Readable && s.Log.Writable, "in reach", "out of reach"),
+	row("log", "", s.Host, ifElse(s.Log.Readable && s.Log.Writable, "reachable", "unreachable"),
 		fmt.Sprintf("offset %d", s.Log.Applied))
 	for _, h := range s.Hosts {
-		row("host", h.Name, h.Zone, choose(h.Live, "live", "silent"), h.Incarnation)
+		row("host", h.Name, h.Zone, ifElse(h.Live, "live", "unreachable"), h.Incarnation)
 	}
 	for _, p := range s.Pools {
 		row("pool", p.Name, p.Owner, "owned", fmt.Sprintf("epoch %d", p.Epoch))
 		for _, e := range p.Endpoints {
-			row("endpoint", e.Name, e.Zone, choose(e.Lost, "lost", "known"),
+			row("endpoint", e.Name, e.Zone, ifElse(e.Lost, "lost", "known"),
 				fmt.Sprintf("%d of %d MB reserved", e.ReservedMB, e.MemoryMB))
 		}
 		for _, r := range p.Replicas {
@@ -79,7 +79,7 @@
 	}
 }
 
-func choose(condition bool, yes, no string) string {
+func ifElse(condition bool, yes, no string) string {
 	if condition {
 		return yes
 	}
@@ -111,7 +111,7 @@
 // Execute implements subcommands.Command.
 func (c *callCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if (c.model == "") == (c.service == "") || f.NArg() == 0 {
-		return c.usage("call: -model with a prompt or -service with a JSON body is expected")
+		return c.usageError("call: -model with a prompt or -service with a JSON body is expected")
 	}
 	resp, err := c.send(ctx, strings.Join(f.Args(), " "))
 	if err != nil {
@@ -141,24 +141,24 @@
 		target = c.url + "/v1/completions"
 		body, _ = json.Marshal(map[string]any{"model": c.model, "prompt": text, "stream": true})
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
 	if c.key == "" {
 		c.key = uuid.Must(uuid.NewV7()).String()
 	}
-	r.Header.Set("Content-Type", "application/json")
-	r.Header.Set("Authorization", "Bearer "+c.token)
-	r.Header.Set("Idempotency-Key", c.key)
+	req.Header.Set("Content-Type", "application/json")
+	req.Header.Set("Authorization", "Bearer "+c.token)
+	req.Header.Set("Idempotency-Key", c.key)
 	if c.deadline > 0 {
-		r.Header.Set("X-Deadline-Ms", strconv.FormatInt(c.deadline.Milliseconds(), 10))
+		req.Header.Set("X-Deadline-Ms", strconv.FormatInt(c.deadline.Milliseconds(), 10))
 	}
-	return http.DefaultClient.Do(r)
+	return http.DefaultClient.Do(req)
 }
 
-// printStream prints the tokens of an event stream; a stream without its end
-// marker is an error.
+// printStream prints the tokens of an event stream. A stream that ends without its
+// end marker is an error.
 func (c *callCommand) printStream(body io.Reader) error {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -184,5 +184,5 @@
 			fmt.Fprint(c.out, choice.Text)
 		}
 	}
-	return fmt.Errorf("the stream ended before its end marker")
+	return fmt.Errorf("event stream ended without [DONE]")
 }
