--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,4 +1,5 @@
-// Package dev runs one entry host with all stand-ins in one process.
+// Package dev runs one entry host and stand-ins for its external systems in one
+// process.
 package dev
 
 import (
@@ -21,43 +22,44 @@
 
 const (
 	customer     = "example"
-	readyPoll    = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 	readyTimeout = 30 * time.Second
 )
 
-// Options are the addresses of the development mode.
+// Options holds the listen addresses and outputs of the development mode.
 type Options struct {
 	Callers   string
 	Operators string
 	Out       io.Writer
 	Log       io.Writer
-	// Ready is called with the callers' address once requests are served.
+	// Ready is called with the callers' address once the host serves requests. It may
+	// be nil.
 	Ready func(callers string)
 }
 
-// Run serves until ctx ends.
+// Run runs tealvaned's entry host until ctx is done.
 func Run(ctx context.Context, o Options) error {
 	config, err := examples.Dev.ReadFile("dev/standins.yaml")
 	if err != nil {
 		return err
 	}
-	c, found := standin.ParseConfig("standins.yaml", config)
-	if err := found.Err(); err != nil {
+	standins, findings := standin.ParseConfig("standins.yaml", config)
+	if err := findings.Err(); err != nil {
 		return err
 	}
-	p, err := standin.StartPlatform(c.Platform, nil)
+	platform, err := standin.StartPlatform(standins.Platform, nil)
 	if err != nil {
 		return err
 	}
-	defer p.Close()
-	for _, e := range c.Endpoints {
-		endpoint, err := standin.StartEndpoint(e, p.URL)
+	defer platform.Close()
+	for _, e := range standins.Endpoints {
+		endpoint, err := standin.StartEndpoint(e, platform.URL)
 		if err != nil {
 			return err
 		}
 		defer endpoint.Close()
 	}
-	h, err := newHost(o, p.URL)
+	h, err := newHost(o, platform.URL)
 	if err != nil {
 		return err
 	}
@@ -104,19 +106,19 @@
 	})
 }
 
-// noToken is the token source of an operators' interface without a token.
-type noToken struct{}
+// anyToken is the token source for an operators' API that accepts any token.
+type anyToken struct{}
 
 // Bearer implements operators.SecuritySource.
-func (noToken) Bearer(context.Context, operators.OperationName) (operators.Bearer, error) {
+func (anyToken) Bearer(context.Context, operators.OperationName) (operators.Bearer, error) {
 	return operators.Bearer{Token: "none"}, nil
 }
 
-// publish puts the example contract in force and waits until its pool has an owner.
+// publish publishes the example contract and blocks until its pool has endpoints.
 func publish(ctx context.Context, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	client, err := operators.NewClient(url, noToken{}, operators.WithClient(http.DefaultClient))
+	client, err := operators.NewClient(url, anyToken{}, operators.WithClient(http.DefaultClient))
 	if err != nil {
 		return err
 	}
@@ -124,24 +126,24 @@
 	if err != nil {
 		return err
 	}
-	if err := until(ctx, func() bool { _, err := client.GetReadiness(ctx); return err == nil }); err != nil {
-		return errors.Wrap(err, "entry host is not ready")
+	if err := pollUntil(ctx, func() bool { _, err := client.GetReadiness(ctx); return err == nil }); err != nil {
+		return errors.Wrap(err, "wait for the entry host to be ready")
 	}
 	published := func() bool {
 		_, err = client.PublishContract(ctx, &operators.Publication{Document: string(document)}, operators.PublishContractParams{Customer: customer})
 		return err == nil
 	}
-	if waitErr := until(ctx, published); waitErr != nil {
+	if waitErr := pollUntil(ctx, published); waitErr != nil {
 		return errors.CombineErrors(err, waitErr)
 	}
-	return until(ctx, func() bool {
+	return pollUntil(ctx, func() bool {
 		s, err := client.GetStatus(ctx)
 		return err == nil && len(s.Pools) > 0 && len(s.Pools[0].Endpoints) > 0
 	})
 }
 
-func until(ctx context.Context, done func() bool) error {
-	ticker := time.NewTicker(readyPoll)
+func pollUntil(ctx context.Context, done func() bool) error {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for !done() {
 		select {
--- a/internal/dev/platform.go
+++ b/internal/dev/platform.go
@@ -12,7 +12,8 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// platformSettings are the settings of the development host on the platform.
+// platformSettings is the settings file of the gateway. Its parameters are the
+// callers' address and the address of the store.
 const platformSettings = `
 host: dev
 availability_zone: zone-1
@@ -34,34 +35,34 @@
   endpoints_check_tokens: true
 `
 
-// The sizes of the development site: two of three models fit into the memory.
+// Sizes of the stand-ins. Two of the three models fit into the endpoint's memory.
 const (
 	devSlots = 8
-	// devRate is how many requests a second the account of the development host may send.
-	devRate     = 20
-	devMemoryMB = 130
-	devModelMB  = 60
-	devEvents   = 12
-	devPace     = 40 * time.Millisecond
+	// devAccountRate is the rate limit of the client account in requests per second.
+	devAccountRate   = 20
+	devMemoryMB      = 130
+	devModelMB       = 60
+	devEventCount    = 12
+	devEventInterval = 40 * time.Millisecond
 )
 
-// RunPlatform serves one entry host on a stand-in of the users' platform until
-// ctx ends.
+// RunPlatform runs the gateway's entry host with stand-ins of its platform until ctx
+// is done.
 func RunPlatform(ctx context.Context, o Options) error {
 	store := site.NewStore()
-	door, err := store.Listen()
+	listener, err := store.Listen()
 	if err != nil {
 		return err
 	}
-	defer door.Close()
-	endpoints, err := startSite(store)
+	defer listener.Close()
+	endpoints, err := startEndpoints(store)
 	if err != nil {
 		return err
 	}
 	for _, e := range endpoints {
 		defer e.Close()
 	}
-	s, err := gateway.ParseSettings("dev", fmt.Appendf(nil, platformSettings, o.Callers, door.Addr))
+	s, err := gateway.ParseSettings("dev", fmt.Appendf(nil, platformSettings, o.Callers, listener.Addr))
 	if err != nil {
 		return err
 	}
@@ -71,7 +72,7 @@
 	}
 	result := make(chan error, 1)
 	go func() { result <- g.Run(ctx) }()
-	if err := until(ctx, g.Ready); err != nil {
+	if err := pollUntil(ctx, g.Ready); err != nil {
 		return <-result
 	}
 	fmt.Fprintf(o.Out, "callers: http://%s\n%s", g.Addr(), site.Hint)
@@ -81,8 +82,9 @@
 	return <-result
 }
 
-// startSite enters an engine with three models and a configuration.
-func startSite(store *site.Store) ([]*site.Endpoint, error) {
+// startEndpoints publishes the configuration and starts one endpoint with three
+// models.
+func startEndpoints(store *site.Store) ([]*site.Endpoint, error) {
 	var models []site.Model
 	for _, name := range []string{"warm", "rare", "idle"} {
 		models = append(models, site.Model{Name: name, WeightsMB: devModelMB, LoadS: 6, DiskS: 0.8, WarmS: 0.6, Adapters: 2, AdapterMB: 1})
@@ -98,7 +100,7 @@
 		}}},
 		Limits: site.DefaultLimits,
 		Accounts: []site.Account{{
-			Name: "dev", Keys: []string{site.DevKey}, Unit: "requests", Rate: devRate, Burst: devRate,
+			Name: "dev", Keys: []string{site.DevKey}, Unit: "requests", Rate: devAccountRate, Burst: devAccountRate,
 		}},
 	})
 	if err != nil {
@@ -106,7 +108,7 @@
 	}
 	e, err := site.StartEndpoint(store, site.EndpointConfig{
 		ID: "e1", Service: "llm", Zone: "zone-1", Slots: devSlots, WeightsMB: devMemoryMB, AdapterSlots: 4, Models: models,
-		Holds: []string{"warm", "idle"}, OnDisk: []string{"rare"}, Events: devEvents, Pace: devPace,
+		Holds: []string{"warm", "idle"}, OnDisk: []string{"rare"}, Events: devEventCount, Pace: devEventInterval,
 	})
 	return []*site.Endpoint{e}, err
 }
