--- a/internal/telemetry/bounded_writer.go
+++ b/internal/telemetry/bounded_writer.go
@@ -8,12 +8,12 @@
 	"sync/atomic"
 )
 
-// queuedLines is how many log lines may wait for a slow reader: a second of
-// them under load, at about 300 bytes each.
-const queuedLines = 4096
+// queueCapacity is the maximum number of queued log lines.
+const queueCapacity = 4096
 
-// BoundedWriter hands lines to a writer without ever blocking the caller. Lines
-// that find the queue full are dropped and counted.
+// BoundedWriter writes lines asynchronously through a bounded queue, so that callers
+// never block. Lines are dropped and counted while the queue is full. It is safe for
+// concurrent use.
 type BoundedWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -22,9 +22,9 @@
 	done    chan struct{}
 }
 
-// NewBoundedWriter starts a writer; Close ends it.
+// NewBoundedWriter returns a BoundedWriter to out. Close must be called to stop it.
 func NewBoundedWriter(out io.Writer) *BoundedWriter {
-	w := &BoundedWriter{lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+	w := &BoundedWriter{lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go w.run(out)
 	return w
 }
@@ -32,7 +32,7 @@
 func (w *BoundedWriter) run(out io.Writer) {
 	defer close(w.done)
 	for line := range w.lines {
-		// Nobody is left to be told when the log itself cannot be written.
+		// Errors are ignored: there is no other place to report them.
 		_, _ = out.Write(line)
 		if n := w.dropped.Swap(0); n > 0 {
 			_, _ = io.WriteString(out, `{"level":"WARN","msg":"log lines dropped","count":`+strconv.FormatInt(n, 10)+"}\n")
@@ -40,8 +40,8 @@
 	}
 }
 
-// Write implements io.Writer; p is one line. After Close it drops the line:
-// background work may still end while the process does.
+// Write implements io.Writer; p must be one line. After Close it drops the line,
+// since goroutines may still log while the process exits.
 func (w *BoundedWriter) Write(p []byte) (int, error) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -56,10 +56,10 @@
 	return len(p), nil
 }
 
-// Dropped returns the number of lines dropped since the last report.
+// Dropped returns the number of dropped lines that have not been logged yet.
 func (w *BoundedWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what is queued.
+// Close writes the queued lines and stops the writer. It must be called only once.
 func (w *BoundedWriter) Close() {
 	w.mu.Lock()
 	w.closed = true
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -10,11 +10,11 @@
 	promreporter "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportPeriod is how often counters are passed to the reporter.
+// reportPeriod is the interval at which the scope updates the Prometheus reporter.
 const reportPeriod = time.Second
 
-// Metrics returns the root scope of a process, the handler that serves it as
-// Prometheus text, and what ends the reporting.
+// Metrics returns the root scope of a process, the handler that serves it in the
+// Prometheus text format, and a closer that stops the reporting.
 func Metrics() (tally.Scope, http.Handler, io.Closer) {
 	registry := prometheus.NewRegistry()
 	reporter := promreporter.NewReporter(promreporter.Options{Registerer: registry, Gatherer: registry})
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry sets up logs and traces of a daemon.
+// Package telemetry sets up the logs, metrics and traces of a daemon.
 package telemetry
 
 import (
@@ -18,11 +18,11 @@
 
 const shutdownTimeout = 2 * time.Second
 
-// Logger returns the JSON logger of a daemon.
+// Logger returns a logger that writes JSON lines to w.
 func Logger(w io.Writer) *slog.Logger { return slog.New(slog.NewJSONHandler(w, nil)) }
 
-// Traces returns the provider that exports spans over OTLP/HTTP to the
-// collector at url, and a function that flushes it. Without a url nothing is
+// Traces returns a provider that exports spans over OTLP/HTTP to the collector at
+// url, and a function that flushes and stops it. If url is empty, no spans are
 // recorded.
 func Traces(ctx context.Context, url, host string) (trace.TracerProvider, func(), error) {
 	if url == "" {
@@ -30,7 +30,7 @@
 	}
 	exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(url+"/v1/traces"))
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "trace exporter")
+		return nil, nil, errors.Wrap(err, "create trace exporter")
 	}
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
