--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait lets loops rest until a time is over or something ends the rest.
+// Package wait provides sleeps that a context or a channel can interrupt.
 package wait
 
 import (
@@ -7,11 +7,10 @@
 	"time"
 )
 
-// For waits and tells whether the whole time has passed; the end of the context ends
-// the wait.
+// For blocks for d or until ctx is done. It reports whether d elapsed.
 func For(ctx context.Context, d time.Duration) bool { return Or(ctx, d, nil) }
 
-// Or waits like For, and ends when wake is closed or brings a value, too.
+// Or is like For, but also returns when wake is closed or receives a value.
 func Or(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -24,11 +23,11 @@
 	return false
 }
 
-// jitterParts is the part, as a divisor, by which Jitter shortens or lengthens a time.
-const jitterParts = 4
+// jitterDivisor is the divisor of the largest jitter.
+const jitterDivisor = 4
 
-// Jitter returns a time that is up to a quarter shorter or longer, so that hosts which
-// began together do not go on together.
+// Jitter returns d plus or minus up to a quarter, so that hosts that started at the
+// same time do not stay synchronized.
 func Jitter(d time.Duration) time.Duration {
-	return d - d/jitterParts + rand.N(2*d/jitterParts)
+	return d - d/jitterDivisor + rand.N(2*d/jitterDivisor)
 }
