--- a/cmd/tealvane-gateway/main.go
+++ b/cmd/tealvane-gateway/main.go
@@ -1,4 +1,4 @@
-// Command tealvane-gateway runs one entry host on the users' platform.
+// Command tealvane-gateway runs one entry host with the adapters of package platform.
 package main
 
 import (
@@ -23,9 +23,9 @@
 	exitUsage  = 2
 )
 
-// memoryShare is the part of a host's memory that the garbage collector keeps
-// to; the rest is for stacks, sockets and received bytes.
-const memoryShare = 0.6
+// memoryLimitRatio is the ratio of the Go memory limit to the configured memory. The
+// rest is headroom for memory outside the Go runtime, such as socket buffers.
+const memoryLimitRatio = 0.6
 
 func main() { os.Exit(run()) }
 
@@ -54,7 +54,7 @@
 }
 
 func serve(settings gateway.Settings, file string) error {
-	limit(settings)
+	applyLimits(settings)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	out := telemetry.NewBoundedWriter(os.Stdout)
@@ -68,29 +68,29 @@
 	if err != nil {
 		return err
 	}
-	go reload(ctx, g, file)
+	go reloadOnHangup(ctx, g, file)
 	return g.Run(ctx)
 }
 
-// limit keeps the process to its share of the host.
-func limit(s gateway.Settings) {
+// applyLimits sets GOMAXPROCS and the Go memory limit from the settings.
+func applyLimits(s gateway.Settings) {
 	if s.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(s.Limits.Cores)
 	}
 	if s.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.Limits.MemoryMB<<20)))
 	}
 }
 
-// reload checks the settings again at each SIGHUP.
-func reload(ctx context.Context, g *gateway.Gateway, file string) {
+// reloadOnHangup reloads the settings on each SIGHUP until ctx is done.
+func reloadOnHangup(ctx context.Context, g *gateway.Gateway, file string) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	for {
 		select {
 		case <-hangups:
-			s, err := gateway.LoadSettings(file)
-			g.Reload(s, err)
+			settings, err := gateway.LoadSettings(file)
+			g.Reload(settings, err)
 		case <-ctx.Done():
 			return
 		}
--- a/cmd/tealvane-standin/main.go
+++ b/cmd/tealvane-standin/main.go
@@ -1,5 +1,5 @@
-// Command tealvane-standin runs stand-ins for the outside systems: all of a
-// deployment together, or one of them.
+// Command tealvane-standin runs stand-ins for the external systems of a deployment,
+// all of them or a single one.
 package main
 
 import (
@@ -13,7 +13,8 @@
 	"github.com/tealvane/tealvane/internal/standin"
 )
 
-// platformName is what -only takes for the log, the weight store and the list.
+// platformName is the value of -only that selects the log, the weight store and the
+// list of hosts.
 const platformName = "platform"
 
 func main() {
--- a/cmd/tealvane/main.go
+++ b/cmd/tealvane/main.go
@@ -1,4 +1,4 @@
-// Command tealvane is the operators' command line.
+// Command tealvane is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/tealvaned/main.go
+++ b/cmd/tealvaned/main.go
@@ -52,7 +52,7 @@
 func serve(s settings.Settings) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	// A second signal ends the process at once.
+	// Restore the default handling, so that a second signal ends the process.
 	context.AfterFunc(ctx, stop)
 	tracer, flush, err := telemetry.Traces(ctx, s.OTLP, s.Host)
 	if err != nil {
