--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,10 +1,9 @@
-// Package examples holds example deployments. The development mode runs the
-// one in dev.
+// Package examples holds example deployments and emulator scenarios.
 package examples
 
 import "embed"
 
-// Dev is the deployment of the development mode.
+// Dev holds the deployment that the development mode runs.
 //
 //go:embed dev
 var Dev embed.FS
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -11,10 +11,11 @@
 	"github.com/tealvane/tealvane/pkg/settings"
 )
 
+// Guards against example files that their parsers reject.
 func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("*/*.yaml")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no examples", err)
+		t.Fatal("found no example files:", err)
 	}
 	for _, file := range files {
 		data, err := os.ReadFile(file)
