--- a/api/generate.go
+++ b/api/generate.go
@@ -1,5 +1,5 @@
-// Package api holds the OpenAPI descriptions of the HTTP interfaces. The
-// generated code stands in internal/api.
+// Package api holds the OpenAPI descriptions of the HTTP APIs. The code that ogen
+// generates from them is in internal/api.
 package api
 
 //go:generate go tool ogen --target ../internal/api/callers --package callers --clean callers.yaml
--- a/internal/api/callers/oas_parameters_gen.go
+++ b/internal/api/callers/oas_parameters_gen.go
@@ -17,9 +17,9 @@
 // CallServiceParams is parameters of callService operation.
 type CallServiceParams struct {
 	Service string
-	// A version 7 UUID; required for models and services that are not idempotent.
+	// A version 7 UUID. Required for models and services that are not idempotent.
 	IdempotencyKey OptString `json:",omitempty,omitzero"`
-	// The longest time until the answer starts, in milliseconds. The contract may set a shorter one.
+	// The maximum time until the response starts, in milliseconds. The contract may set a shorter one.
 	XDeadlineMs OptInt64 `json:",omitempty,omitzero"`
 }
 
@@ -254,9 +254,9 @@
 
 // CreateChatCompletionParams is parameters of createChatCompletion operation.
 type CreateChatCompletionParams struct {
-	// A version 7 UUID; required for models and services that are not idempotent.
+	// A version 7 UUID. Required for models and services that are not idempotent.
 	IdempotencyKey OptString `json:",omitempty,omitzero"`
-	// The longest time until the answer starts, in milliseconds. The contract may set a shorter one.
+	// The maximum time until the response starts, in milliseconds. The contract may set a shorter one.
 	XDeadlineMs OptInt64 `json:",omitempty,omitzero"`
 }
 
@@ -419,9 +419,9 @@
 
 // CreateCompletionParams is parameters of createCompletion operation.
 type CreateCompletionParams struct {
-	// A version 7 UUID; required for models and services that are not idempotent.
+	// A version 7 UUID. Required for models and services that are not idempotent.
 	IdempotencyKey OptString `json:",omitempty,omitzero"`
-	// The longest time until the answer starts, in milliseconds. The contract may set a shorter one.
+	// The maximum time until the response starts, in milliseconds. The contract may set a shorter one.
 	XDeadlineMs OptInt64 `json:",omitempty,omitzero"`
 }
 
--- a/internal/api/callers/oas_schemas_gen.go
+++ b/internal/api/callers/oas_schemas_gen.go
@@ -546,8 +546,8 @@
 
 // Ref: #/components/schemas/ErrorDetail
 type ErrorDetail struct {
-	// Not_run: certainly nothing ran. outcome_unknown: it may have run. broken_stream: an answer was begun
-	// and cannot be completed.
+	// Not_run: the request certainly did not run. outcome_unknown: it may have run. broken_stream: the
+	// response has started and cannot be completed.
 	Code      ErrorDetailCode `json:"code"`
 	Message   string          `json:"message"`
 	Reason    OptString       `json:"reason"`
@@ -594,8 +594,8 @@
 	s.RequestID = val
 }
 
-// Not_run: certainly nothing ran. outcome_unknown: it may have run. broken_stream: an answer was begun
-// and cannot be completed.
+// Not_run: the request certainly did not run. outcome_unknown: it may have run. broken_stream: the
+// response has started and cannot be completed.
 type ErrorDetailCode string
 
 const (
