--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -137,8 +137,8 @@
 	for i, h := range f.hosts[1:] {
 		if tick%200 == 0 || tick%40 == 0 && f.risen[i+1] {
 			f.risen[i+1] = false
-			uses := f.unsent[i+1].Sum(f.now, h.Uses(f.now), allowance.RelayLife)
-			if !f.send(i+1, func() { f.sums.Take(f.now, fmt.Sprint(i), uses, allowance.ControllerLife) }) {
+			uses := f.unsent[i+1].Sum(f.now, h.Uses(f.now), allowance.RelayTTL)
+			if !f.send(i+1, func() { f.sums.Take(f.now, fmt.Sprint(i), uses, allowance.ControllerTTL) }) {
 				f.unsent[i+1].AddLet(uses)
 			}
 		}
@@ -146,7 +146,7 @@
 	if tick%100 != 0 {
 		return
 	}
-	levels := f.levels.Decide(f.now, 1, map[string]fleet.Account{"a": f.account}, f.sums.Sum(f.now, f.hosts[0].Uses(f.now), allowance.ControllerLife))
+	levels := f.levels.Decide(f.now, 1, map[string]fleet.Account{"a": f.account}, f.sums.Sum(f.now, f.hosts[0].Uses(f.now), allowance.ControllerTTL))
 	asOf := f.now
 	f.hosts[0].Hear(f.now, asOf, levels)
 	for i, h := range f.hosts[1:] {
@@ -336,15 +336,15 @@
 }
 
 // A relay fails, and its hosts report to the controller until they use another relay. They must not
-// be counted twice, or as partitioned, for longer than RelayLife.
+// be counted twice, or as partitioned, for longer than RelayTTL.
 func TestReportAfterRelayFailureExpires(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		ttl         time.Duration
 		partitioned bool
 	}{
-		{"in place of a relay", allowance.RelayLife, false},
-		{"always, and is cut off", allowance.ControllerLife, true},
+		{"in place of a relay", allowance.RelayTTL, false},
+		{"always, and is cut off", allowance.ControllerTTL, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -352,7 +352,7 @@
 			now := time.Unix(1000, 0)
 			s.Take(now, "h", []fleet.AccountUse{{Account: "a", Usual: 100, Served: 100, Let: 10}}, c.ttl)
 			now = now.Add(2 * time.Second)
-			uses := s.Sum(now, nil, allowance.ControllerLife)
+			uses := s.Sum(now, nil, allowance.ControllerTTL)
 			is.Equal(len(uses), 1)
 			is.Equal(uses[0].Usual, 0.0) // its last report is too old
 			is.Equal(uses[0].Let, 10.0)  // the admitted amount still counts
--- a/pkg/allowance/levels.go
+++ b/pkg/allowance/levels.go
@@ -34,12 +34,12 @@
 	maxExcess = 4.0
 	// minShareChange is the relative change from which on a new share is published.
 	minShareChange = 0.05
-	// RelayLife is how long a host's last report counts at a relay. It is short, so that a host
+	// RelayTTL is how long a host's last report counts at a relay. It is short, so that a host
 	// which moves to another relay is not counted twice for long.
-	RelayLife = 900 * time.Millisecond
-	// ControllerLife is how long a host's last report counts at the controller. A partitioned host
+	RelayTTL = 900 * time.Millisecond
+	// ControllerTTL is how long a host's last report counts at the controller. A partitioned host
 	// continues to admit requests, so its share is not given to others in that time.
-	ControllerLife = expiredAfter
+	ControllerTTL = expiredAfter
 	// maxLevels bounds the accounts in one list. Those with the lowest shares come first.
 	maxLevels = 256
 )
@@ -62,7 +62,7 @@
 func NewSums() *Sums { return &Sums{hosts: map[string]hostReport{}, admitted: map[string]float64{}} }
 
 // Take adds the report of a host, which includes those of the hosts behind it. Its rates count for
-// the duration ttl, at most ControllerLife.
+// the duration ttl, at most ControllerTTL.
 func (s *Sums) Take(now time.Time, host string, uses []fleet.AccountUse, ttl time.Duration) {
 	s.hosts[host] = hostReport{at: now, ttl: ttl, uses: uses}
 	s.AddLet(uses)
@@ -76,7 +76,7 @@
 }
 
 // Sum returns the usage of this host and of the hosts whose reports are not older than maxAge,
-// which is at most ControllerLife. The admitted amounts are returned once.
+// which is at most ControllerTTL. The admitted amounts are returned once.
 func (s *Sums) Sum(now time.Time, own []fleet.AccountUse, maxAge time.Duration) []fleet.AccountUse {
 	byAccount := map[string]fleet.AccountUse{}
 	add := func(uses []fleet.AccountUse, reachable bool) {
@@ -98,7 +98,7 @@
 		case age > h.ttl:
 			delete(s.hosts, host)
 		case age <= maxAge:
-			add(h.uses, age <= RelayLife)
+			add(h.uses, age <= RelayTTL)
 		}
 	}
 	s.AddLet(own)
--- a/pkg/entryhost/guard.go
+++ b/pkg/entryhost/guard.go
@@ -29,44 +29,44 @@
 	*quarantine.Guard
 	host *Host
 	// unreported holds crashes that are not yet in the log.
-	unreported chan []fleet.Crash
+	unreported chan []fleet.CrashReport
 	// applied is the offset of the last crash record that was processed.
 	applied record.Offset
 }
 
 func newGuard(h *Host) *guard {
-	g := &guard{host: h, unreported: make(chan []fleet.Crash, maxUnreportedCrashes)}
+	g := &guard{host: h, unreported: make(chan []fleet.CrashReport, maxUnreportedCrashes)}
 	g.Guard = quarantine.NewGuard(quarantine.Config{
-		Ended:     h.endpointTerminated,
-		Announced: h.leaving,
-		Crashed:   g.enqueue,
-		Moved:     func() {},
-		Now:       h.now,
-		Log:       h.logger,
+		Terminated:        h.endpointTerminated,
+		ShutdownAnnounced: h.leaving,
+		OnCrash:           g.enqueue,
+		OnTrialChange:     func() {},
+		Now:               h.now,
+		Log:               h.logger,
 	})
 	return g
 }
 
-// Broke implements serve.Guard. The ID of a plain service does not change across restarts, so the
+// RecordBroken implements serve.Guard. The ID of a plain service does not change across restarts, so the
 // incarnation is added to distinguish them.
-func (g *guard) Broke(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool) {
+func (g *guard) RecordBroken(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool) {
 	e.ID = g.host.withIncarnation(e.ID)
-	g.Guard.Broke(e, f, id, suspected)
+	g.Guard.RecordBroken(e, f, id, suspected)
 }
 
-// Refused implements serve.Guard.
-func (g *guard) Refused(e fleet.Endpoint) {
+// RecordUnreachable implements serve.Guard.
+func (g *guard) RecordUnreachable(e fleet.Endpoint) {
 	e.ID = g.host.withIncarnation(e.ID)
-	g.Guard.Refused(e)
+	g.Guard.RecordUnreachable(e)
 }
 
-// Served implements serve.Guard.
-func (g *guard) Served(e fleet.Endpoint, f fleet.Fingerprint, began time.Time) {
+// RecordServed implements serve.Guard.
+func (g *guard) RecordServed(e fleet.Endpoint, f fleet.Fingerprint, began time.Time) {
 	e.ID = g.host.withIncarnation(e.ID)
-	g.Guard.Served(e, f, began)
+	g.Guard.RecordServed(e, f, began)
 }
 
-func (g *guard) enqueue(crashes []fleet.Crash) {
+func (g *guard) enqueue(crashes []fleet.CrashReport) {
 	select {
 	case g.unreported <- crashes:
 	default:
@@ -80,13 +80,13 @@
 		now := g.host.now()
 		for _, c := range g.host.state.Crashes.After(g.applied) {
 			g.applied = c.Offset
-			g.Ledger.Add(now, crashesFromRecord(now, c.Crashed))
+			g.CrashLog.Add(now, crashesFromRecord(now, c.EndpointCrash))
 		}
 		g.Decide(now)
 		// Hosts share crashes but not trial runs. Each host tries one copy of a suspected request
 		// at a time.
-		g.GrantOwn(now, 0)
-		g.Tend(now)
+		g.GrantLocally(now, 0)
+		g.UpdateTrials(now)
 		g.Prune(now)
 	})
 }
@@ -109,8 +109,8 @@
 }
 
 // newCrashRecord returns the record for crashes of one endpoint. crashes must not be empty.
-func newCrashRecord(now time.Time, crashes []fleet.Crash) record.Crashed {
-	r := record.Crashed{Endpoint: string(crashes[0].Endpoint), At: crashes[0].At(now)}
+func newCrashRecord(now time.Time, crashes []fleet.CrashReport) record.EndpointCrash {
+	r := record.EndpointCrash{Endpoint: string(crashes[0].Endpoint), At: crashes[0].At(now)}
 	for _, c := range crashes {
 		r.Requests = append(r.Requests, record.CrashedRequest(c.Request))
 	}
@@ -119,10 +119,10 @@
 
 // crashesFromRecord returns the crashes in a record. Timestamps ahead of now, caused by clock skew
 // between hosts, are treated as now.
-func crashesFromRecord(now time.Time, r record.Crashed) []fleet.Crash {
-	var out []fleet.Crash
+func crashesFromRecord(now time.Time, r record.EndpointCrash) []fleet.CrashReport {
+	var out []fleet.CrashReport
 	for _, f := range r.Requests {
-		out = append(out, fleet.Crash{
+		out = append(out, fleet.CrashReport{
 			Request:  fleet.Fingerprint(f),
 			Endpoint: fleet.EndpointID(r.Endpoint),
 			Ago:      max(0, now.Sub(r.At).Milliseconds()),
@@ -131,7 +131,7 @@
 	return out
 }
 
-// endpointTerminated implements quarantine.Config.Ended.
+// endpointTerminated implements quarantine.Config.Terminated.
 func (h *Host) endpointTerminated(ctx context.Context, e fleet.Endpoint) (bool, error) {
 	status, err := h.engine.Status(ctx, e.Addr)
 	if errors.Is(err, external.ErrRefused) {
@@ -153,7 +153,7 @@
 	return string(id[:i]), record.Incarnation(id[i+len(incarnationSeparator):])
 }
 
-// leaving implements quarantine.Config.Announced.
+// leaving implements quarantine.Config.ShutdownAnnounced.
 func (h *Host) leaving(id fleet.EndpointID) bool {
 	name, _ := splitIncarnation(id)
 	if e, ok := h.state.Pools.EndpointOf(record.ReplicaID(id)); ok {
--- a/pkg/fleet/messages.go
+++ b/pkg/fleet/messages.go
@@ -47,16 +47,16 @@
 	// HostsNext.
 	Hosts     []Entry `cbor:"19,keyasint,omitempty"`
 	HostsNext int64   `cbor:"20,keyasint,omitempty"`
-	// BlocksSum is the checksum over all blocks known to the responding host. Blocks holds
+	// BlocksChecksum is the checksum over all blocks known to the responding host. Blocks holds
 	// these blocks if the checksum in the Pull differs.
-	BlocksSum uint64  `cbor:"22,keyasint,omitempty"`
-	Blocks    []Block `cbor:"23,keyasint,omitempty"`
+	BlocksChecksum uint64  `cbor:"22,keyasint,omitempty"`
+	Blocks         []Block `cbor:"23,keyasint,omitempty"`
 	// Accounts lists the client accounts near their limits, as of HeardAgo.
 	Accounts AccountLevels `cbor:"24,keyasint"`
-	// SignalsSum is the checksum over all endpoint signals known to the responding host.
+	// SignalsChecksum is the checksum over all endpoint signals known to the responding host.
 	// Signals holds them if the checksum in the Pull differs.
-	SignalsSum uint64           `cbor:"25,keyasint,omitempty"`
-	Signals    []EndpointSignal `cbor:"26,keyasint,omitempty"`
+	SignalsChecksum uint64           `cbor:"25,keyasint,omitempty"`
+	Signals         []EndpointSignal `cbor:"26,keyasint,omitempty"`
 }
 
 // Pull reports the demand of a host and requests the changes since its last Notice.
@@ -77,11 +77,11 @@
 	Below []Heard `cbor:"7,keyasint,omitempty"`
 	// Crashes lists the crashes, seen by the requesting host and by the hosts that pull from
 	// it, that have not been sent to the responding host yet.
-	Crashes []Crash `cbor:"9,keyasint,omitempty"`
-	// BlocksSum is the checksum over all blocks known to the requesting host. Blocks holds
+	Crashes []CrashReport `cbor:"9,keyasint,omitempty"`
+	// BlocksChecksum is the checksum over all blocks known to the requesting host. Blocks holds
 	// these blocks if the responding host's last checksum differed.
-	BlocksSum uint64  `cbor:"10,keyasint,omitempty"`
-	Blocks    []Block `cbor:"11,keyasint,omitempty"`
+	BlocksChecksum uint64  `cbor:"10,keyasint,omitempty"`
+	Blocks         []Block `cbor:"11,keyasint,omitempty"`
 	// Accounts is the usage at the requesting host and at the hosts that pull from it; nil if
 	// it was reported just before. Rising is set if the usage of an account has increased
 	// sharply. Brief is set if the host pulls in place of a relay, which will report the same
@@ -89,10 +89,10 @@
 	Accounts []AccountUse `cbor:"12,keyasint,omitempty"`
 	Rising   bool         `cbor:"13,keyasint,omitempty"`
 	Brief    bool         `cbor:"14,keyasint,omitempty"`
-	// SignalsSum is the checksum over all endpoint signals known to the requesting host.
+	// SignalsChecksum is the checksum over all endpoint signals known to the requesting host.
 	// Signals holds them if the responding host's last checksum differed.
-	SignalsSum uint64           `cbor:"15,keyasint,omitempty"`
-	Signals    []EndpointSignal `cbor:"16,keyasint,omitempty"`
+	SignalsChecksum uint64           `cbor:"15,keyasint,omitempty"`
+	Signals         []EndpointSignal `cbor:"16,keyasint,omitempty"`
 }
 
 // Heard is the last heartbeat of a controller that a host has received.
--- a/pkg/fleet/quarantine.go
+++ b/pkg/fleet/quarantine.go
@@ -37,14 +37,14 @@
 // Hex formats a digest for logs and store keys.
 func Hex(digest uint64) string { return strconv.FormatUint(digest, 16) }
 
-// Crash records that an endpoint crashed while it ran a request.
-type Crash struct {
+// CrashReport records that an endpoint crashed while it ran a request.
+type CrashReport struct {
 	Request  Fingerprint `cbor:"1,keyasint"`
 	Endpoint EndpointID  `cbor:"2,keyasint"`
 	// Ago is the age of the crash in milliseconds.
 	Ago int64 `cbor:"3,keyasint,omitempty"`
-	// Copy identifies the copy of the request that ran on the endpoint; 0 if unknown.
-	Copy CopyID `cbor:"4,keyasint,omitempty"`
+	// CopyID identifies the copy of the request that ran on the endpoint; 0 if unknown.
+	CopyID CopyID `cbor:"4,keyasint,omitempty"`
 }
 
 // CopyID is a digest of an attempt ID. It is never 0.
@@ -54,7 +54,7 @@
 func NewCopyID(attempt string) CopyID { return CopyID(max(1, uint32(digest(attempt)))) }
 
 // At returns the time of the crash, given when the record was received.
-func (c Crash) At(now time.Time) time.Time {
+func (c CrashReport) At(now time.Time) time.Time {
 	return now.Add(-time.Duration(c.Ago) * time.Millisecond)
 }
 
@@ -77,9 +77,9 @@
 	Stage TrialStage `cbor:"2,keyasint"`
 	// Host is the incarnation of the host that requests or holds the turn of this round.
 	Host string `cbor:"3,keyasint,omitempty"`
-	// EndedAgo is the time in milliseconds since an endpoint last crashed while it ran the
+	// LastCrashAgo is the time in milliseconds since an endpoint last crashed while it ran the
 	// request.
-	EndedAgo int64 `cbor:"4,keyasint,omitempty"`
+	LastCrashAgo int64 `cbor:"4,keyasint,omitempty"`
 }
 
 // TrialStage is the stage of a trial's current round.
@@ -87,10 +87,10 @@
 
 // The stages of a round, in order.
 const (
-	// TrialHeld means that no copy may run.
-	TrialHeld TrialStage = iota
-	// TrialAsked means that a host has a waiting copy and requests the turn.
-	TrialAsked
+	// TrialWaiting means that no copy may run.
+	TrialWaiting TrialStage = iota
+	// TrialRequested means that a host has a waiting copy and requests the turn.
+	TrialRequested
 	// TrialGranted means that one copy may run, at one host.
 	TrialGranted
 	// TrialCleared means that the trial is over: a copy was answered and its endpoint did not
@@ -100,11 +100,11 @@
 
 // String returns the name of the stage for logs.
 func (s TrialStage) String() string {
-	return [...]string{"held", "asked", "granted", "cleared"}[min(max(s, TrialHeld), TrialCleared)]
+	return [...]string{"held", "asked", "granted", "cleared"}[min(max(s, TrialWaiting), TrialCleared)]
 }
 
-// After reports whether t supersedes o.
-func (t Trial) After(o Trial) bool {
+// Supersedes reports whether t supersedes o.
+func (t Trial) Supersedes(o Trial) bool {
 	return cmp.Or(cmp.Compare(t.Round, o.Round), cmp.Compare(t.Stage, o.Stage), cmp.Compare(t.Host, o.Host)) > 0
 }
 
--- a/pkg/gateway/allowance.go
+++ b/pkg/gateway/allowance.go
@@ -83,7 +83,7 @@
 		a.lastRise = now
 	}
 	a.pendingRise, a.usageReported = false, now
-	return a.sums.Sum(now, a.local.Uses(now), allowance.RelayLife), rising
+	return a.sums.Sum(now, a.local.Uses(now), allowance.RelayTTL), rising
 }
 
 // restoreUsage adds back the usage of a report that the upstream host may not have received. If
@@ -98,9 +98,9 @@
 func (a *accounts) mergeUsage(now time.Time, p fleet.Pull) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	life := allowance.ControllerLife
+	life := allowance.ControllerTTL
 	if p.Brief {
-		life = allowance.RelayLife
+		life = allowance.RelayTTL
 	}
 	a.sums.Take(now, p.Demand.Host, p.Accounts, life)
 }
@@ -126,7 +126,7 @@
 		return false
 	}
 	a.pendingRise, a.levelsDecided = false, now
-	levels := a.levels.Decide(now, token, c.Accounts.All(), a.sums.Sum(now, a.local.Uses(now), allowance.ControllerLife))
+	levels := a.levels.Decide(now, token, c.Accounts.All(), a.sums.Sum(now, a.local.Uses(now), allowance.ControllerTTL))
 	a.mu.Unlock()
 	return a.applyLevels(now, now, levels)
 }
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -142,8 +142,8 @@
 	g.children.responded(ch, now, g.currentVersions())
 	n := g.withListChanges(now, g.board.Answer(now, g.self.Incarnation, p), p.ListNext-1, g.directory.Material())
 	n.Stamp = g.stampFor(now, n.Token)
-	n.BlocksSum, n.Blocks = g.blocks.forResponse(now, p.BlocksSum)
-	n.SignalsSum, n.Signals = g.signals.forResponse(now, p.SignalsSum)
+	n.BlocksChecksum, n.Blocks = g.blocks.forResponse(now, p.BlocksChecksum)
+	n.SignalsChecksum, n.Signals = g.signals.forResponse(now, p.SignalsChecksum)
 	n.Accounts = g.accounts.local.Told()
 	hosts := g.cache.hostsFrom(p.HostsNext)
 	n.Hosts, n.HostsNext = hosts.Entries, hosts.Next
@@ -157,7 +157,7 @@
 		claim:  g.election.Newest().Token,
 		config: g.configVersion(),
 		hosts:  g.cache.hostsOffset(),
-		blocks: g.guard.Blocks.Version(),
+		blocks: g.guard.Blocklist.Version(),
 
 		accounts: g.accounts.version(),
 		signals:  g.health.Signals.Version(),
--- a/pkg/gateway/control.go
+++ b/pkg/gateway/control.go
@@ -164,7 +164,7 @@
 		g.health.Prune(live)
 		g.metrics.gauge("endpoints", float64(len(live)))
 		g.metrics.gauge("endpoints_limited", float64(g.health.Signals.LimitedCount(now)))
-		g.metrics.gauge("requests_blocked", float64(g.guard.Blocks.Count()))
+		g.metrics.gauge("requests_blocked", float64(g.guard.Blocklist.Count()))
 		g.metrics.gauge("endpoint_connections", float64(g.endpoints.Opened()))
 	})
 }
--- a/pkg/gateway/crashstore.go
+++ b/pkg/gateway/crashstore.go
@@ -42,14 +42,14 @@
 // of power of all hosts.
 type crashRecord struct {
 	// Written is the Unix time in milliseconds that the ages of the crashes refer to.
-	Written int64         `cbor:"1,keyasint"`
-	Crashes []fleet.Crash `cbor:"2,keyasint,omitempty"`
-	Blocks  []fleet.Block `cbor:"3,keyasint,omitempty"`
+	Written int64               `cbor:"1,keyasint"`
+	Crashes []fleet.CrashReport `cbor:"2,keyasint,omitempty"`
+	Blocks  []fleet.Block       `cbor:"3,keyasint,omitempty"`
 }
 
 // expired reports whether the record is too old to count: any block in it has expired.
 func (r crashRecord) expired(now time.Time) bool {
-	return now.UnixMilli()-r.Written > quarantine.BlockLife.Milliseconds()
+	return now.UnixMilli()-r.Written > quarantine.BlockTTL.Milliseconds()
 }
 
 // storedCrashes tracks what the store holds of each content. It is safe for concurrent use.
@@ -165,7 +165,7 @@
 	for i := range r.Crashes {
 		r.Crashes[i].Ago += max(0, age)
 	}
-	if g.guard.Ledger.Add(now, r.Crashes) {
+	if g.guard.CrashLog.Add(now, r.Crashes) {
 		g.requestReport()
 	}
 	g.mergeBlocks(now, r.Blocks)
@@ -192,7 +192,7 @@
 		if g.election.Held() != 0 {
 			g.removeStaleRecords(ctx)
 		}
-		if !schedule.update(now, g.guard.Ledger.Version(), g.guard.Blocks.Version()) {
+		if !schedule.update(now, g.guard.CrashLog.Version(), g.guard.Blocklist.Version()) {
 			return
 		}
 		for _, r := range g.recordsToWrite(now, now.Sub(schedule.blocksAt) >= backupWriteDelay) {
@@ -203,20 +203,20 @@
 
 // crashStoreSchedule decides when a host checks whether the store lacks crash data.
 type crashStoreSchedule struct {
-	ledger, blocks int64
+	crashLog, blocks int64
 	// changed is when crash data last changed, blocksAt when blocks last changed.
 	changed, blocksAt time.Time
 }
 
 // update records the current versions and reports whether a check is due.
-func (s *crashStoreSchedule) update(now time.Time, ledger, blocks int64) bool {
+func (s *crashStoreSchedule) update(now time.Time, crashLog, blocks int64) bool {
 	if blocks != s.blocks {
 		s.blocksAt = now
 	}
-	if ledger != s.ledger || blocks != s.blocks {
+	if crashLog != s.crashLog || blocks != s.blocks {
 		s.changed = now
 	}
-	s.ledger, s.blocks = ledger, blocks
+	s.crashLog, s.blocks = crashLog, blocks
 	return now.Sub(s.changed) < crashStoreActivePeriod
 }
 
@@ -239,12 +239,12 @@
 		if isolated && !isController {
 			minCrashes = minStoredCrashesIsolated
 		}
-		for content, crashes := range g.guard.Unexplained(now, minCrashes, minStoredTrialAge) {
+		for content, crashes := range g.guard.CrashesToPersist(now, minCrashes, minStoredTrialAge) {
 			byContent[content] = crashRecord{Written: now.UnixMilli(), Crashes: crashes}
 		}
 	}
 	if isController || isolated || backup && g.mesh.isRelay() {
-		for _, b := range g.guard.Blocks.All(now) {
+		for _, b := range g.guard.Blocklist.All(now) {
 			if b.Suspect {
 				continue // The crashes in the record imply it.
 			}
--- a/pkg/gateway/export_test.go
+++ b/pkg/gateway/export_test.go
@@ -63,7 +63,7 @@
 func (g *Gateway) Silence() time.Duration { return g.notices.age(g.Now()) }
 
 // Blocks returns the number of requests that the host blocks.
-func (g *Gateway) Blocks() int { return g.guard.Blocks.Count() }
+func (g *Gateway) Blocks() int { return g.guard.Blocklist.Count() }
 
 // ToldInTime reports whether the host received its first update well within the startup grace
 // period.
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -42,9 +42,9 @@
 type Endpoints interface {
 	serve.Backend
 	orders.Orderer
-	// Ended reports whether an incarnation of an endpoint has ended. An error means that this
+	// Terminated reports whether an incarnation of an endpoint has terminated. An error means that this
 	// is unknown.
-	Ended(ctx context.Context, e fleet.Endpoint) (bool, error)
+	Terminated(ctx context.Context, e fleet.Endpoint) (bool, error)
 	// Retain closes the connections to all endpoints that are not in live.
 	Retain(live map[fleet.EndpointID]bool)
 	// Opened returns the number of connections opened to the endpoints in use.
@@ -202,8 +202,8 @@
 
 // initReplicatedSets connects the sets that are replicated to other hosts to their sources.
 func (g *Gateway) initReplicatedSets() {
-	g.blocks.checksum, g.blocks.all = g.guard.Blocks.Sum, g.guard.Blocks.All
-	g.signals.checksum = g.health.Signals.Sum
+	g.blocks.checksum, g.blocks.all = g.guard.Blocklist.Checksum, g.guard.Blocklist.All
+	g.signals.checksum = g.health.Signals.Checksum
 	g.signals.all = func(time.Time) []fleet.EndpointSignal { return g.health.Signals.All() }
 }
 
--- a/pkg/gateway/listconfirm_test.go
+++ b/pkg/gateway/listconfirm_test.go
@@ -42,10 +42,10 @@
 	g.crashCursors = newCrashCursors()
 	g.storedCrashes = newStoredCrashes()
 	g.guard = quarantine.NewGuard(quarantine.Config{
-		Announced: g.directory.Announced,
-		Crashed:   func([]fleet.Crash) {},
-		Now:       g.Now,
-		Log:       g.log,
+		ShutdownAnnounced: g.directory.Announced,
+		OnCrash:           func([]fleet.CrashReport) {},
+		Now:               g.Now,
+		Log:               g.log,
 	})
 	g.settings.Timing.Drain = drain
 	g.board = fleet.NewBoard(g.directory)
--- a/pkg/gateway/pull.go
+++ b/pkg/gateway/pull.go
@@ -105,7 +105,7 @@
 		p.Below = g.demandSums.Heard(now)
 	}
 	crashesNext := g.addCrashesTo(now, to.Addr, &p)
-	p.SignalsSum, p.Signals = g.signals.forRequest(now)
+	p.SignalsChecksum, p.Signals = g.signals.forRequest(now)
 	p.Accounts, p.Rising = g.accounts.usageReport(now)
 	p.Brief = isControllerFallback(upstreams, to)
 	err := g.sendPull(ctx, to, p, crashesNext)
@@ -172,7 +172,7 @@
 	g.crashCursors.acknowledge(to.Addr, response.Notice.Source, crashesNext)
 	g.mergeResponseBlocks(now, *response.Notice)
 	g.mergeSignals(now, response.Notice.Signals)
-	g.signals.acknowledge(response.Notice.SignalsSum)
+	g.signals.acknowledge(response.Notice.SignalsChecksum)
 	if g.accounts.applyLevels(now, now.Add(-milliseconds(response.Notice.HeardAgo)), response.Notice.Accounts) {
 		g.children.wake()
 	}
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -25,23 +25,23 @@
 // newGuard returns the guard that blocks requests that crash endpoints.
 func (g *Gateway) newGuard() *quarantine.Guard {
 	return quarantine.NewGuard(quarantine.Config{
-		Host:      g.self.Incarnation,
-		Ended:     g.endpoints.Ended,
-		Announced: g.directory.Announced,
-		Crashed: func([]fleet.Crash) {
+		Host:              g.self.Incarnation,
+		Terminated:        g.endpoints.Terminated,
+		ShutdownAnnounced: g.directory.Announced,
+		OnCrash: func([]fleet.CrashReport) {
 			g.metrics.count("endpoints_crashed", nil)
 			g.requestReport()
 		},
-		Moved: g.announceBlocks,
-		Now:   g.Now,
-		Log:   g.log,
+		OnTrialChange: g.announceBlocks,
+		Now:           g.Now,
+		Log:           g.log,
 	})
 }
 
 // updateBlocks decides which requests to block. The controller decides, since it receives all
 // crashes; a host that receives no updates decides by what it knows.
 func (g *Gateway) updateBlocks(now time.Time) {
-	g.guard.Tend(now)
+	g.guard.UpdateTrials(now)
 	isController := g.election.Held() != 0
 	if !isController && g.notices.recent(now) {
 		return
@@ -53,7 +53,7 @@
 	case isController:
 		g.guard.Grant(now)
 	case g.notices.age(now) > isolationTimeout:
-		g.guard.GrantOwn(now, min(maxIsolatedTrialSpan, time.Duration(g.mesh.hosts())*isolatedTrialSpanPerHost))
+		g.guard.GrantLocally(now, min(maxIsolatedTrialSpan, time.Duration(g.mesh.hosts())*isolatedTrialSpanPerHost))
 	}
 }
 
@@ -103,14 +103,14 @@
 // It returns the number of the first crash after them.
 func (g *Gateway) addCrashesTo(now time.Time, addr string, p *fleet.Pull) int64 {
 	var next int64
-	p.Crashes, next = g.guard.Ledger.Since(now, g.crashCursors.next(addr), maxCrashesPerPull)
-	p.BlocksSum, p.Blocks = g.blocks.forRequest(now)
+	p.Crashes, next = g.guard.CrashLog.Since(now, g.crashCursors.next(addr), maxCrashesPerPull)
+	p.BlocksChecksum, p.Blocks = g.blocks.forRequest(now)
 	return next
 }
 
 // mergeCrashes merges the crashes and blocks of a pull.
 func (g *Gateway) mergeCrashes(now time.Time, p fleet.Pull) {
-	if g.guard.Ledger.Add(now, p.Crashes) && g.election.Held() == 0 {
+	if g.guard.CrashLog.Add(now, p.Crashes) && g.election.Held() == 0 {
 		g.requestReport()
 	}
 	g.mergeBlocks(now, p.Blocks)
@@ -141,5 +141,5 @@
 	if g.addBlocks(now, n.Blocks) {
 		g.children.wake()
 	}
-	g.blocks.acknowledge(n.BlocksSum)
+	g.blocks.acknowledge(n.BlocksChecksum)
 }
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -64,7 +64,7 @@
 		return
 	}
 	var n fleet.Notice
-	n.BlocksSum, n.Blocks = to.blocks.forResponse(t.now, p.BlocksSum)
+	n.BlocksChecksum, n.Blocks = to.blocks.forResponse(t.now, p.BlocksChecksum)
 	from.crashCursors.acknowledge(to.self.Host, to.self.Incarnation, next)
 	from.mergeResponseBlocks(t.now, n)
 }
@@ -77,8 +77,8 @@
 	t.now = t.now.Add(250 * time.Millisecond)
 }
 
-func crashOf(endpoint string) []fleet.Crash {
-	return []fleet.Crash{{Request: fleet.Fingerprint{Content: 1, Caller: 2}, Endpoint: fleet.EndpointID(endpoint)}}
+func crashOf(endpoint string) []fleet.CrashReport {
+	return []fleet.CrashReport{{Request: fleet.Fingerprint{Content: 1, Caller: 2}, Endpoint: fleet.EndpointID(endpoint)}}
 }
 
 // Guards against hosts not learning of a block after lost messages, a dead relay or a restarted
@@ -88,7 +88,7 @@
 		tree := newRelayTree(rapid.IntRange(1, 3).Draw(t, "relays"), rapid.IntRange(3, 12).Draw(t, "hosts"))
 		seen := rapid.SliceOfNDistinct(rapid.IntRange(0, len(tree.hosts)-1), 3, 3, rapid.ID[int]).Draw(t, "seen by")
 		for n, i := range seen {
-			tree.hosts[i].guard.Ledger.Add(tree.now, crashOf(fmt.Sprint("e", n)))
+			tree.hosts[i].guard.CrashLog.Add(tree.now, crashOf(fmt.Sprint("e", n)))
 		}
 		lost := rapid.SliceOfN(rapid.SampledFrom([]int{0, 0, 1, 2}), 30, 30).Draw(t, "lost")
 		for n, l := range lost {
@@ -139,7 +139,7 @@
 	tree.round()
 	tree.round()
 	tree.round()
-	is.Equal(tree.hosts[0].guard.Blocks.All(time.Now()), []fleet.Block{block})
+	is.Equal(tree.hosts[0].guard.Blocklist.All(time.Now()), []fleet.Block{block})
 	var p fleet.Pull
 	tree.hosts[2].addCrashesTo(tree.now, "1", &p)
 	is.Equal(len(p.Blocks), 0)
@@ -152,8 +152,8 @@
 	g := relayHost()
 	now := g.Now()
 	g.notices.recordResponse(now)
-	g.guard.Ledger.Add(now, crashOf("e1"))
-	g.guard.Ledger.Add(now, crashOf("e2"))
+	g.guard.CrashLog.Add(now, crashOf("e1"))
+	g.guard.CrashLog.Add(now, crashOf("e2"))
 	is.Equal(len(g.recordsToWrite(now, false)), 0) // receives updates and is not the controller
 	later := now.Add(2 * isolationTimeout)
 	records := g.recordsToWrite(later, false) // isolated
@@ -161,7 +161,7 @@
 	is.Equal(len(records[0].Crashes), 2)
 	g.storedCrashes.set(1, records[0])
 	is.Equal(len(g.recordsToWrite(later, false)), 0)
-	g.guard.Blocks.Add(later, []fleet.Block{{Request: fleet.BlockedRequest{Content: 1, Caller: 2}, Since: later.Unix()}})
+	g.guard.Blocklist.Add(later, []fleet.Block{{Request: fleet.BlockedRequest{Content: 1, Caller: 2}, Since: later.Unix()}})
 	is.Equal(len(g.recordsToWrite(later, false)), 1)
 	g.notices.recordResponse(later)
 	is.Equal(len(g.recordsToWrite(later, false)), 0) // the controller writes it
@@ -173,7 +173,7 @@
 	is := is.New(t)
 	k := newStoredCrashes()
 	now := time.Unix(10_000, 0)
-	k.set(1, crashRecord{Written: now.Add(-quarantine.BlockLife - time.Second).UnixMilli()})
+	k.set(1, crashRecord{Written: now.Add(-quarantine.BlockTTL - time.Second).UnixMilli()})
 	k.set(2, crashRecord{Written: now.UnixMilli()})
 	k.prune(now)
 	is.Equal(k.drainStale(), []string{"1"})
@@ -192,7 +192,7 @@
 		is.NoErr(err)
 		return fleet.Entry{Key: fleet.Hex(1), Value: value}
 	}
-	old := now.Add(-2 * quarantine.BlockLife)
+	old := now.Add(-2 * quarantine.BlockTTL)
 	g.applyCrashRecords(fleet.Batch{Entries: []fleet.Entry{entry(old)}})
 	g.applyCrashRecords(fleet.Batch{Entries: []fleet.Entry{entry(now)}})
 	is.Equal(len(g.storedCrashes.drainStale()), 0)
@@ -209,14 +209,14 @@
 	g := relayHost()
 	start := g.Now()
 	for i := range 3 {
-		g.guard.Ledger.Add(start, crashOf(fmt.Sprint("e", i)))
+		g.guard.CrashLog.Add(start, crashOf(fmt.Sprint("e", i)))
 	}
 	now := start.Add(2 * time.Second)
 	g.notices.recordResponse(now)
 	g.updateBlocks(now)
-	is.Equal(g.guard.Blocks.Count(), 0)
+	is.Equal(g.guard.Blocklist.Count(), 0)
 	g.updateBlocks(now.Add(noticeTTL))
-	is.Equal(g.guard.Blocks.Count(), 1)
+	is.Equal(g.guard.Blocklist.Count(), 1)
 }
 
 // Guards against writing records for suspects, whose crashes are stored anyway.
@@ -224,7 +224,7 @@
 	is := is.New(t)
 	g := relayHost()
 	now := g.Now()
-	g.guard.Blocks.Add(now, []fleet.Block{{Request: fleet.BlockedRequest{Content: 1}, Since: now.Unix(), Suspect: true}})
+	g.guard.Blocklist.Add(now, []fleet.Block{{Request: fleet.BlockedRequest{Content: 1}, Since: now.Unix(), Suspect: true}})
 	is.Equal(len(g.recordsToWrite(now.Add(2*isolationTimeout), true)), 0)
 }
 
--- a/pkg/gateway/signals.go
+++ b/pkg/gateway/signals.go
@@ -105,10 +105,10 @@
 	return l.Endpoints.Run(ctx, r, e)
 }
 
-// Ended reports whether an incarnation of an endpoint has ended.
-func (l rateLimitedEndpoints) Ended(ctx context.Context, e fleet.Endpoint) (bool, error) {
+// Terminated reports whether an incarnation of an endpoint has terminated.
+func (l rateLimitedEndpoints) Terminated(ctx context.Context, e fleet.Endpoint) (bool, error) {
 	if err := l.allow(callEnded, e); err != nil {
 		return false, err
 	}
-	return l.Endpoints.Ended(ctx, e)
+	return l.Endpoints.Terminated(ctx, e)
 }
--- a/pkg/gateway/signals_inner_test.go
+++ b/pkg/gateway/signals_inner_test.go
@@ -23,26 +23,26 @@
 	rate := 2.5
 	observer.health.Signals.Observe(now, "e", signals.Answer{Rate: &rate}, now, true)
 	var request fleet.Pull
-	request.SignalsSum, request.Signals = observer.signals.forRequest(now)
+	request.SignalsChecksum, request.Signals = observer.signals.forRequest(now)
 	before := upstream.currentVersions()
 	upstream.mergeSignals(now, request.Signals)
 	is.True(upstream.currentVersions().anyNewerThan(before)) // pending pulls are answered at once
 	var response fleet.Notice
-	response.SignalsSum, response.Signals = upstream.signals.forResponse(now, other.health.Signals.Sum())
+	response.SignalsChecksum, response.Signals = upstream.signals.forResponse(now, other.health.Signals.Checksum())
 	other.mergeSignals(now, response.Signals)
-	other.signals.acknowledge(response.SignalsSum)
+	other.signals.acknowledge(response.SignalsChecksum)
 	for _, g := range []*Gateway{observer, upstream, other} {
 		is.True(g.health.Signals.InNeed(now, "e"))
 	}
 	// No signal is sent twice.
 	var again fleet.Notice
-	again.SignalsSum, again.Signals = upstream.signals.forResponse(now, other.health.Signals.Sum())
+	again.SignalsChecksum, again.Signals = upstream.signals.forResponse(now, other.health.Signals.Checksum())
 	is.Equal(len(again.Signals), 0)
 	observer.mergeSignals(now, again.Signals)
-	observer.signals.acknowledge(again.SignalsSum)
-	request.SignalsSum, request.Signals = observer.signals.forRequest(now)
+	observer.signals.acknowledge(again.SignalsChecksum)
+	request.SignalsChecksum, request.Signals = observer.signals.forRequest(now)
 	var next fleet.Pull
-	next.SignalsSum, next.Signals = observer.signals.forRequest(now)
+	next.SignalsChecksum, next.Signals = observer.signals.forRequest(now)
 	is.Equal(len(next.Signals), 0)
 }
 
@@ -57,7 +57,7 @@
 	observer.health.Signals.Observe(now, "e", signals.Answer{Leaving: true}, now, true)
 	is.Equal(len(usableEndpoints(observer, now)), 0)
 	var request fleet.Pull
-	request.SignalsSum, request.Signals = observer.signals.forRequest(now)
+	request.SignalsChecksum, request.Signals = observer.signals.forRequest(now)
 	other.mergeSignals(now, request.Signals)
 	other.applyEndpoints(fleet.Batch{Entries: []fleet.Entry{{Key: "e", Value: []byte("ready")}}, Next: 1})
 	is.Equal(len(usableEndpoints(other, now)), 0)
@@ -77,7 +77,7 @@
 	before := g.currentVersions()
 	g.mergeSignals(now, []fleet.EndpointSignal{{Endpoint: "e", Version: 1, Limited: true, Rate: 1}})
 	is.True(!g.currentVersions().anyNewerThan(before))
-	is.Equal(g.health.Signals.Sum(), uint64(0))
+	is.Equal(g.health.Signals.Checksum(), uint64(0))
 }
 
 // acceptingEndpoints accepts all calls.
@@ -95,7 +95,9 @@
 	return serve.Run{}, nil
 }
 
-func (acceptingEndpoints) Ended(context.Context, fleet.Endpoint) (bool, error) { return false, nil }
+func (acceptingEndpoints) Terminated(context.Context, fleet.Endpoint) (bool, error) {
+	return false, nil
+}
 
 // Guards against orders, reports and other calls ignoring the pauses and rate limits of
 // endpoints.
@@ -109,7 +111,7 @@
 		_, order := limited.Order(ctx, e, orders.Order{})
 		_, report := limited.Report(ctx, e)
 		_, run := limited.Run(ctx, nil, e)
-		_, ended := limited.Ended(ctx, e)
+		_, ended := limited.Terminated(ctx, e)
 		return []error{order, report, run, ended}
 	}
 	for _, err := range calls() {
--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -9,19 +9,19 @@
 	"github.com/tealvane/tealvane/pkg/quarantine"
 )
 
-// BenchmarkDecide measures Decide on a ledger that holds the maximum number of crashes, each with a
+// BenchmarkDecide measures Decide on a crash log that holds the maximum number of crashes, each with a
 // batch of requests of which a few ran at several endpoints.
 func BenchmarkDecide(b *testing.B) {
 	const ends, batch, repeated = 512, 24, 16
-	l := quarantine.NewLedger()
+	l := quarantine.NewCrashLog()
 	for i := range ends {
-		var crashes []fleet.Crash
+		var crashes []fleet.CrashReport
 		for j := range batch {
 			content := uint64(1000 + i*batch + j)
 			if j < 2 {
 				content = uint64(1 + (i+j)%repeated)
 			}
-			crashes = append(crashes, fleet.Crash{
+			crashes = append(crashes, fleet.CrashReport{
 				Request:  fleet.Fingerprint{Content: content, Caller: client},
 				Endpoint: fleet.EndpointID(fmt.Sprint("e", i)),
 			})
@@ -31,7 +31,7 @@
 	now := start().Add(ms(ends))
 	for b.Loop() {
 		now = now.Add(100 * time.Millisecond)
-		l.Add(now, []fleet.Crash{{Request: fleet.Fingerprint{Content: uint64(b.N), Caller: client}, Endpoint: fleet.EndpointID(now.String())}})
+		l.Add(now, []fleet.CrashReport{{Request: fleet.Fingerprint{Content: uint64(b.N), Caller: client}, Endpoint: fleet.EndpointID(now.String())}})
 		l.Expire(now)
 		l.Decide(now)
 	}
--- a/pkg/quarantine/blocks.go
+++ b/pkg/quarantine/blocklist.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// BlockLife is how long a block stays in force. After it, the request is tried again, since the
+	// BlockTTL is how long a block stays in force. After it, the request is tried again, since the
 	// endpoint software may have been fixed.
-	BlockLife = time.Hour
+	BlockTTL = time.Hour
 	// trialTTL is how long a trial is kept, the same as the crashes that led to it.
 	trialTTL = crashTTL
 	// maxBlocks bounds the number of blocks, and separately of trials. Further ones are not added.
 	maxBlocks = 512
 )
 
-// Blocks holds the blocked requests and the trials of suspect requests. It is safe for concurrent
+// Blocklist holds the blocked requests and the trials of suspect requests. It is safe for concurrent
 // use.
-type Blocks struct {
+type Blocklist struct {
 	mu sync.Mutex
 	// blockedAt maps each blocked request to when it was blocked, in Unix seconds.
 	blockedAt map[fleet.BlockedRequest]int64
@@ -33,9 +33,9 @@
 	changes chan struct{}
 }
 
-// NewBlocks returns an empty set of blocks.
-func NewBlocks() *Blocks {
-	return &Blocks{
+// NewBlocklist returns an empty blocklist.
+func NewBlocklist() *Blocklist {
+	return &Blocklist{
 		blockedAt: map[fleet.BlockedRequest]int64{},
 		trials:    map[uint64]trial{},
 		changes:   make(chan struct{}),
@@ -44,7 +44,7 @@
 
 // Add merges blocks and trials and returns those that are new. Expired ones are ignored, so that a
 // host whose clock is behind cannot restore them.
-func (b *Blocks) Add(now time.Time, blocks []fleet.Block) []fleet.Block {
+func (b *Blocklist) Add(now time.Time, blocks []fleet.Block) []fleet.Block {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var added []fleet.Block
@@ -57,7 +57,7 @@
 }
 
 // addBlock reports whether the block is new. It must be called with b.mu held.
-func (b *Blocks) addBlock(x fleet.Block) bool {
+func (b *Blocklist) addBlock(x fleet.Block) bool {
 	blockedAt, ok := b.blockedAt[x.Request]
 	if !ok && len(b.blockedAt) >= maxBlocks {
 		return false
@@ -71,27 +71,27 @@
 
 // recordChange records an addition, a removal or a replacement. delta is the change of the
 // checksum. It must be called with b.mu held.
-func (b *Blocks) recordChange(delta uint64) {
+func (b *Blocklist) recordChange(delta uint64) {
 	b.version++
 	b.checksum ^= delta
-	b.notify()
+	b.notifyLocked()
 }
 
-// notify wakes all waiters. It must be called with b.mu held.
-func (b *Blocks) notify() {
+// notifyLocked wakes all waiters. It must be called with b.mu held.
+func (b *Blocklist) notifyLocked() {
 	close(b.changes)
 	b.changes = make(chan struct{})
 }
 
-// Wake wakes all waiters as if something had changed.
-func (b *Blocks) Wake() {
+// Notify wakes all waiters as if something had changed.
+func (b *Blocklist) Notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.notify()
+	b.notifyLocked()
 }
 
 // Changes returns a channel that is closed on the next change.
-func (b *Blocks) Changes() <-chan struct{} {
+func (b *Blocklist) Changes() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changes
@@ -109,7 +109,7 @@
 
 // expired reports whether the block or trial has expired.
 func expired(now time.Time, x fleet.Block) bool {
-	ttl := BlockLife
+	ttl := BlockTTL
 	if x.Suspect {
 		ttl = trialTTL
 	}
@@ -117,7 +117,7 @@
 }
 
 // Expire removes expired blocks and trials.
-func (b *Blocks) Expire(now time.Time) {
+func (b *Blocklist) Expire(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, x := range b.all(now) {
@@ -134,7 +134,7 @@
 }
 
 // all returns all blocks and trials. It must be called with b.mu held.
-func (b *Blocks) all(now time.Time) []fleet.Block {
+func (b *Blocklist) all(now time.Time) []fleet.Block {
 	var out []fleet.Block
 	for r, since := range b.blockedAt {
 		out = append(out, fleet.Block{Request: r, Since: since})
@@ -146,21 +146,21 @@
 }
 
 // All returns all blocks and trials.
-func (b *Blocks) All(now time.Time) []fleet.Block {
+func (b *Blocklist) All(now time.Time) []fleet.Block {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.all(now)
 }
 
 // Count returns how many requests are blocked.
-func (b *Blocks) Count() int {
+func (b *Blocklist) Count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.blockedAt)
 }
 
 // Has reports whether there is a block for exactly this content and caller.
-func (b *Blocks) Has(r fleet.BlockedRequest) bool {
+func (b *Blocklist) Has(r fleet.BlockedRequest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, ok := b.blockedAt[r]
@@ -168,22 +168,22 @@
 }
 
 // Version returns the number of changes at this host.
-func (b *Blocks) Version() int64 {
+func (b *Blocklist) Version() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.version
 }
 
-// Sum returns a checksum of all blocks and trials, 0 if there are none. It is equal at hosts that
+// Checksum returns a checksum of all blocks and trials, 0 if there are none. It is equal at hosts that
 // hold the same ones.
-func (b *Blocks) Sum() uint64 {
+func (b *Blocklist) Checksum() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.checksum
 }
 
 // Blocked reports whether the request is blocked for its caller or for all callers.
-func (b *Blocks) Blocked(f fleet.Fingerprint) bool {
+func (b *Blocklist) Blocked(f fleet.Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, byCaller := b.blockedAt[fleet.BlockedRequest(f)]
--- a/pkg/quarantine/checker.go
+++ b/pkg/quarantine/checker.go
@@ -27,17 +27,17 @@
 // off for other reasons. It is safe for concurrent use.
 type checker struct {
 	cfg  Config
-	runs *Runs
+	runs *RecentRuns
 	// onCrash is called with the requests that were running at an endpoint when it crashed.
-	onCrash func([]fleet.Crash)
+	onCrash func([]fleet.CrashReport)
 
 	mu sync.Mutex
 	// suspicions holds the endpoints that are being checked.
 	suspicions map[fleet.EndpointID]*suspicion
 }
 
-func newChecker(cfg Config, onCrash func([]fleet.Crash)) *checker {
-	return &checker{cfg: cfg, runs: NewRuns(), onCrash: onCrash, suspicions: map[fleet.EndpointID]*suspicion{}}
+func newChecker(cfg Config, onCrash func([]fleet.CrashReport)) *checker {
+	return &checker{cfg: cfg, runs: NewRecentRuns(), onCrash: onCrash, suspicions: map[fleet.EndpointID]*suspicion{}}
 }
 
 // suspicion is a suspected crash of an endpoint.
@@ -49,10 +49,10 @@
 	aliveChecks int
 }
 
-// Broke records a run that broke off. If suspected is set, it starts checks of the endpoint.
-func (c *checker) Broke(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool) {
+// RecordBroken records a run that broke off. If suspected is set, it starts checks of the endpoint.
+func (c *checker) RecordBroken(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool) {
 	now := c.cfg.Now()
-	if crashes := c.runs.Broke(now, e.ID, f, id); len(crashes) > 0 {
+	if crashes := c.runs.RecordBroken(now, e.ID, f, id); len(crashes) > 0 {
 		c.report(e.ID, crashes)
 		return
 	}
@@ -61,11 +61,11 @@
 	}
 }
 
-// Refused records a refused connection. It starts checks if a run at the endpoint has ended
+// RecordUnreachable records a refused connection. It starts checks if a run at the endpoint has ended
 // recently.
-func (c *checker) Refused(e fleet.Endpoint) {
+func (c *checker) RecordUnreachable(e fleet.Endpoint) {
 	now := c.cfg.Now()
-	if c.runs.EndedLately(now, e.ID) && c.addSuspicion(now, e.ID) {
+	if c.runs.RanRecently(now, e.ID) && c.addSuspicion(now, e.ID) {
 		go c.checkUntilKnown(e)
 	}
 }
@@ -124,7 +124,7 @@
 			continue // The result is unknown; check again.
 		case !ended:
 			confirmed = 0
-			c.runs.Lives(c.cfg.Now(), e.ID)
+			c.runs.RecordAlive(c.cfg.Now(), e.ID)
 			if c.recordAlive(e.ID) {
 				return
 			}
@@ -142,23 +142,23 @@
 func (c *checker) checkOnce(ctx context.Context, e fleet.Endpoint) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
-	return c.cfg.Ended(ctx, e)
+	return c.cfg.Terminated(ctx, e)
 }
 
 // recordCrash records that the endpoint crashed at the given time.
 func (c *checker) recordCrash(e fleet.Endpoint, at time.Time) {
-	crashes := c.runs.Ended(c.cfg.Now(), at, e.ID)
+	crashes := c.runs.RecordCrash(c.cfg.Now(), at, e.ID)
 	contents := make([]string, len(crashes))
 	for i, x := range crashes {
 		contents[i] = fleet.Hex(x.Request.Content)
 	}
-	c.cfg.Log.Info("endpoint crashed while running requests", "endpoint", e.ID, "announced", c.cfg.Announced(e.ID), "contents", contents)
+	c.cfg.Log.Info("endpoint crashed while running requests", "endpoint", e.ID, "announced", c.cfg.ShutdownAnnounced(e.ID), "contents", contents)
 	c.report(e.ID, crashes)
 }
 
 // report passes on the crashes, unless the endpoint had announced its shutdown.
-func (c *checker) report(id fleet.EndpointID, crashes []fleet.Crash) {
-	if len(crashes) > 0 && !c.cfg.Announced(id) {
+func (c *checker) report(id fleet.EndpointID, crashes []fleet.CrashReport) {
+	if len(crashes) > 0 && !c.cfg.ShutdownAnnounced(id) {
 		c.onCrash(crashes)
 	}
 }
--- a/pkg/quarantine/ledger.go
+++ b/pkg/quarantine/crashlog.go
@@ -46,23 +46,23 @@
 // Verdict is a request that was found to crash endpoints.
 type Verdict struct {
 	Request fleet.BlockedRequest
-	// Suspect requests are put on trial instead of blocked; Ended is when the last endpoint crashed
+	// Suspect requests are put on trial instead of blocked; LastCrash is when the last endpoint crashed
 	// while running one.
-	Suspect bool
-	Ended   time.Time
+	Suspect   bool
+	LastCrash time.Time
 	// Endpoints are those that crashed while running the request.
 	Endpoints []fleet.EndpointID
 }
 
-// Ledger holds the requests that ran at crashed endpoints, as reported by all hosts, and finds
+// CrashLog holds the requests that ran at crashed endpoints, as reported by all hosts, and finds
 // those that cause the crashes. It does no I/O, ignores duplicate reports, and is safe for
 // concurrent use.
-type Ledger struct {
+type CrashLog struct {
 	mu      sync.Mutex
 	crashes map[fleet.EndpointID]*endpointCrash
 	// log holds the crash reports in order of arrival. The first one has the sequence number
 	// firstSeq.
-	log      []fleet.Crash
+	log      []fleet.CrashReport
 	firstSeq int64
 	// crashCounts is the number of crashes that each content may have caused, copyCounts the number
 	// of its copies that ran there. candidates holds the contents that may be suspects, so that an
@@ -134,9 +134,9 @@
 	return out
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger {
-	return &Ledger{
+// NewCrashLog returns an empty crash log.
+func NewCrashLog() *CrashLog {
+	return &CrashLog{
 		crashes:     map[fleet.EndpointID]*endpointCrash{},
 		crashCounts: map[uint64]int{},
 		copyCounts:  map[uint64]int{},
@@ -145,7 +145,7 @@
 }
 
 // Add records crash reports and reports whether any is new.
-func (l *Ledger) Add(now time.Time, crashes []fleet.Crash) bool {
+func (l *CrashLog) Add(now time.Time, crashes []fleet.CrashReport) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	added := false
@@ -156,7 +156,7 @@
 	return added
 }
 
-func (l *Ledger) add(now time.Time, c fleet.Crash) bool {
+func (l *CrashLog) add(now time.Time, c fleet.CrashReport) bool {
 	at := c.At(now)
 	if now.Sub(at) > crashTTL {
 		return false
@@ -170,16 +170,16 @@
 		e.at = at
 	}
 	r := e.request(c.Request)
-	if r.copies[c.Copy] {
+	if r.copies[c.CopyID] {
 		return false
 	}
 	if len(r.copies) > 0 && !r.mayBeCause {
-		r.copies[c.Copy] = true
+		r.copies[c.CopyID] = true
 		return false
 	}
 	l.update(e, c.Request.Content, func() {
 		r.mayBeCause = true
-		r.copies[c.Copy] = true
+		r.copies[c.CopyID] = true
 	})
 	l.log = append(l.log, c)
 	return true
@@ -202,7 +202,7 @@
 
 // update calls apply, which modifies what the content may have caused at the crash, and updates the
 // counts. It must be called with l.mu held.
-func (l *Ledger) update(e *endpointCrash, content uint64, apply func()) {
+func (l *CrashLog) update(e *endpointCrash, content uint64, apply func()) {
 	crashes, copies := e.contribution(content)
 	apply()
 	endsNow, copiesNow := e.contribution(content)
@@ -219,7 +219,7 @@
 
 // Clear records that an endpoint has survived the request, which is then not the cause of any crash
 // recorded so far. Later reports of these crashes do not undo that; new crashes count.
-func (l *Ledger) Clear(f fleet.Fingerprint) {
+func (l *CrashLog) Clear(f fleet.Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.crashes {
@@ -230,7 +230,7 @@
 }
 
 // ClearContent is like Clear for all callers of the content.
-func (l *Ledger) ClearContent(content uint64) {
+func (l *CrashLog) ClearContent(content uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.crashes {
@@ -242,9 +242,9 @@
 	}
 }
 
-// LastHeard returns when this host learned of the last crash that the content may have caused, or
+// LastReportedAt returns when this host learned of the last crash that the content may have caused, or
 // the zero time.
-func (l *Ledger) LastHeard(content uint64) time.Time {
+func (l *CrashLog) LastReportedAt(content uint64) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var last time.Time
@@ -258,7 +258,7 @@
 
 // adjustCounts adjusts the counts of the content by the given numbers of crashes and copies. It
 // must be called with l.mu held.
-func (l *Ledger) adjustCounts(content uint64, crashes, copies int) {
+func (l *CrashLog) adjustCounts(content uint64, crashes, copies int) {
 	n, c := l.crashCounts[content]+crashes, l.copyCounts[content]+copies
 	l.crashCounts[content], l.copyCounts[content] = n, c
 	if n == 0 {
@@ -273,7 +273,7 @@
 }
 
 // remove removes the crash. It must be called with l.mu held.
-func (l *Ledger) remove(e *endpointCrash) {
+func (l *CrashLog) remove(e *endpointCrash) {
 	delete(l.crashes, e.id)
 	for content := range e.requests {
 		ends, copies := e.contribution(content)
@@ -282,7 +282,7 @@
 }
 
 // Expire removes crashes that are older than crashTTL or exceed maxCrashes.
-func (l *Ledger) Expire(now time.Time) {
+func (l *CrashLog) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.crashes {
@@ -295,7 +295,7 @@
 			l.remove(e)
 		}
 	}
-	kept := slices.IndexFunc(l.log, func(c fleet.Crash) bool { return l.crashes[c.Endpoint] != nil })
+	kept := slices.IndexFunc(l.log, func(c fleet.CrashReport) bool { return l.crashes[c.Endpoint] != nil })
 	if kept < 0 {
 		kept = len(l.log)
 	}
@@ -304,7 +304,7 @@
 }
 
 // Version is incremented with each new crash report.
-func (l *Ledger) Version() int64 {
+func (l *CrashLog) Version() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.firstSeq + int64(len(l.log))
@@ -312,13 +312,13 @@
 
 // Since returns up to limit crash reports from the given sequence number on, and the number that
 // follows the last one.
-func (l *Ledger) Since(now time.Time, from int64, limit int) ([]fleet.Crash, int64) {
+func (l *CrashLog) Since(now time.Time, from int64, limit int) ([]fleet.CrashReport, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	from = max(from, l.firstSeq)
 	rest := l.log[from-l.firstSeq:]
 	rest = rest[:min(len(rest), limit)]
-	var out []fleet.Crash
+	var out []fleet.CrashReport
 	for _, c := range rest {
 		if e := l.crashes[c.Endpoint]; e != nil && e.request(c.Request).mayBeCause {
 			c.Ago = now.Sub(e.at).Milliseconds()
@@ -333,7 +333,7 @@
 // A crash is attributed to a request unless another one ran there that ran at more crashes:
 // requests that repeatedly run beside the cause are interrupted each time as well. Crashes that
 // occur together count as one unless the request ran at all of them.
-func (l *Ledger) Decide(now time.Time) []Verdict {
+func (l *CrashLog) Decide(now time.Time) []Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.pending || now.Sub(l.evaluatedAt) < evaluationInterval {
@@ -351,13 +351,13 @@
 	return out
 }
 
-// Unexplained returns the crash reports of each content that has crashes attributed to it, if
+// Attributed returns the crash reports of each content that has crashes attributed to it, if
 // include returns true for the number of these.
-func (l *Ledger) Unexplained(now time.Time, include func(content uint64, ends int) bool) map[uint64][]fleet.Crash {
+func (l *CrashLog) Attributed(now time.Time, include func(content uint64, ends int) bool) map[uint64][]fleet.CrashReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	groups := groupByTime(l.sortedCrashes())
-	out := map[uint64][]fleet.Crash{}
+	out := map[uint64][]fleet.CrashReport{}
 	for content, n := range l.crashCounts {
 		if !include(content, n) {
 			continue
@@ -370,8 +370,8 @@
 }
 
 // crashReports returns the reports of the given crashes for one content.
-func crashReports(now time.Time, content uint64, crashes []*endpointCrash) []fleet.Crash {
-	var out []fleet.Crash
+func crashReports(now time.Time, content uint64, crashes []*endpointCrash) []fleet.CrashReport {
+	var out []fleet.CrashReport
 	for _, e := range crashes {
 		for _, caller := range e.callers(content) {
 			f := fleet.Fingerprint{Content: content, Caller: caller}
@@ -384,7 +384,7 @@
 }
 
 // sortedCrashes returns all crashes by time. It must be called with l.mu held.
-func (l *Ledger) sortedCrashes() []*endpointCrash {
+func (l *CrashLog) sortedCrashes() []*endpointCrash {
 	return slices.SortedFunc(maps.Values(l.crashes), func(a, b *endpointCrash) int {
 		return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.id, b.id))
 	})
--- a/pkg/quarantine/ledger_test.go
+++ b/pkg/quarantine/crashlog_test.go
@@ -45,10 +45,10 @@
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // crashReports returns the reports of the i-th crash.
-func crashReports(i int, e testCrash) []fleet.Crash {
-	var out []fleet.Crash
+func crashReports(i int, e testCrash) []fleet.CrashReport {
+	var out []fleet.CrashReport
 	for _, f := range e.requests {
-		out = append(out, fleet.Crash{Request: f, Endpoint: fleet.EndpointID(fmt.Sprint("e", i))})
+		out = append(out, fleet.CrashReport{Request: f, Endpoint: fleet.EndpointID(fmt.Sprint("e", i))})
 	}
 	return out
 }
@@ -56,7 +56,7 @@
 // blockedAfter replays the crashes and returns the requests that are blocked by the time until, in
 // milliseconds.
 func blockedAfter(crashes []testCrash, until int) []fleet.BlockedRequest {
-	l := quarantine.NewLedger()
+	l := quarantine.NewCrashLog()
 	var out []fleet.BlockedRequest
 	for t := 0; t <= until; t += 20 {
 		for i, e := range crashes {
@@ -217,24 +217,24 @@
 // crashes.
 func TestDuplicateCrashReportsAreIgnored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []fleet.Crash
+		var all []fleet.CrashReport
 		ends := map[fleet.EndpointID]bool{}
 		for range rapid.IntRange(1, 12).Draw(t, "crashes") {
 			id := fleet.EndpointID(fmt.Sprint("e", rapid.IntRange(0, 3).Draw(t, "endpoint")))
 			ends[id] = true
-			all = append(all, fleet.Crash{Request: requestsBy(client, harmful)[0], Endpoint: id, Ago: rapid.Int64Range(0, 900).Draw(t, "ago")})
+			all = append(all, fleet.CrashReport{Request: requestsBy(client, harmful)[0], Endpoint: id, Ago: rapid.Int64Range(0, 900).Draw(t, "ago")})
 		}
-		l := quarantine.NewLedger()
+		l := quarantine.NewCrashLog()
 		seed := rapid.Uint64().Draw(t, "order")
 		rand.New(rand.NewPCG(seed, 0)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		for _, c := range append(all, all...) {
-			l.Add(start(), []fleet.Crash{c})
+			l.Add(start(), []fleet.CrashReport{c})
 		}
 		reports, next := l.Since(start(), 0, 100)
 		if len(reports) != len(ends) {
 			t.Fatalf("Since returned %d crashes, but %d endpoints crashed", len(reports), len(ends))
 		}
-		relay := quarantine.NewLedger()
+		relay := quarantine.NewCrashLog()
 		relay.Add(start(), reports)
 		if relay.Add(start(), reports) {
 			t.Fatal("Add reports duplicate crashes as new")
@@ -253,7 +253,7 @@
 // clearance.
 func TestDuplicateReportDoesNotUndoClear(t *testing.T) {
 	is := is.New(t)
-	l := quarantine.NewLedger()
+	l := quarantine.NewCrashLog()
 	for i := range 4 {
 		crashes := crashReports(i, testCrash{requests: requestsBy(client, innocent)})
 		at := start().Add(time.Duration(i) * time.Second)
@@ -268,9 +268,9 @@
 
 // The number and the age of the crashes that are kept are bounded, or memory would grow while
 // endpoints crash repeatedly.
-func TestLedgerIsBounded(t *testing.T) {
+func TestCrashLogIsBounded(t *testing.T) {
 	is := is.New(t)
-	l := quarantine.NewLedger()
+	l := quarantine.NewCrashLog()
 	for i := range 2000 {
 		l.Add(start().Add(ms(i)), crashReports(i, testCrash{requests: requestsBy(client, uint64(i))}))
 	}
@@ -296,11 +296,11 @@
 	is.Equal(blockedAfter(crashes, 6100), []fleet.BlockedRequest{{Content: harmful, Caller: client}, {Content: other, Caller: client}})
 }
 
-// Crashes are added and expire, and requests are cleared. The verdicts must equal those of a ledger
+// Crashes are added and expire, and requests are cleared. The verdicts must equal those of a log
 // that has seen only the retained crashes.
 func TestCountsMatchRetainedCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := quarantine.NewLedger()
+		l := quarantine.NewCrashLog()
 		now := start()
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "seconds")) * time.Second)
@@ -315,14 +315,14 @@
 			}
 		}
 		l.Expire(now)
-		replayed := quarantine.NewLedger()
+		replayed := quarantine.NewCrashLog()
 		kept, _ := l.Since(now, 0, 1000)
 		replayed.Add(now, kept)
-		l.Add(now, crashReports(1000, testCrash{requests: requestsBy(client, 99)})) // makes both ledgers evaluate
+		l.Add(now, crashReports(1000, testCrash{requests: requestsBy(client, 99)})) // makes both logs evaluate
 		replayed.Add(now, crashReports(1000, testCrash{requests: requestsBy(client, 99)}))
 		later := now.Add(2 * time.Second)
 		if got, want := verdictNames(l.Decide(later)), verdictNames(replayed.Decide(later)); !slices.Equal(got, want) {
-			t.Fatalf("verdicts %v, want %v as of a ledger with only the retained crashes", got, want)
+			t.Fatalf("verdicts %v, want %v as of a crash log with only the retained crashes", got, want)
 		}
 	})
 }
--- a/pkg/quarantine/evaluation.go
+++ b/pkg/quarantine/evaluation.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	allCallers := fleet.BlockedRequest{Content: content, Caller: fleet.AnyCaller}
-	out := []Verdict{{Request: allCallers, Suspect: true, Endpoints: endpointIDs(all), Ended: all[len(all)-1].at}}
+	out := []Verdict{{Request: allCallers, Suspect: true, Endpoints: endpointIDs(all), LastCrash: all[len(all)-1].at}}
 	crashes := all
 	if len(all) < certainCrashes {
 		crashes = ev.attributed(content)
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -23,69 +23,69 @@
 type Config struct {
 	// Host is the incarnation of this host, as other hosts know it.
 	Host string
-	// Ended reports whether this incarnation of the endpoint has terminated. An error means that
+	// Terminated reports whether this incarnation of the endpoint has terminated. An error means that
 	// this is unknown.
-	Ended func(ctx context.Context, e fleet.Endpoint) (bool, error)
-	// Announced reports whether the endpoint has announced its shutdown.
-	Announced func(id fleet.EndpointID) bool
-	// Crashed is called with new crashes detected by this host, all at one endpoint.
-	Crashed func([]fleet.Crash)
-	// Moved is called when this host has advanced a trial and other hosts must be notified.
-	Moved func()
-	Now   func() time.Time
-	Log   *slog.Logger
+	Terminated func(ctx context.Context, e fleet.Endpoint) (bool, error)
+	// ShutdownAnnounced reports whether the endpoint has announced its shutdown.
+	ShutdownAnnounced func(id fleet.EndpointID) bool
+	// OnCrash is called with new crashes detected by this host, all at one endpoint.
+	OnCrash func([]fleet.CrashReport)
+	// OnTrialChange is called when this host has advanced a trial and other hosts must be notified.
+	OnTrialChange func()
+	Now           func() time.Time
+	Log           *slog.Logger
 }
 
 // Guard keeps requests that crash endpoints away from them, on one host. It implements serve.Guard.
 type Guard struct {
-	Ledger  *Ledger
-	Blocks  *Blocks
-	cfg     Config
-	checker *checker
-	probes  *probes
-	answers *recentAnswers
+	CrashLog  *CrashLog
+	Blocklist *Blocklist
+	cfg       Config
+	checker   *checker
+	probes    *probes
+	answers   *recentAnswers
 }
 
 // NewGuard returns a guard that blocks nothing.
 func NewGuard(cfg Config) *Guard {
-	g := &Guard{Ledger: NewLedger(), Blocks: NewBlocks(), cfg: cfg, probes: newProbes(), answers: newRecentAnswers()}
+	g := &Guard{CrashLog: NewCrashLog(), Blocklist: NewBlocklist(), cfg: cfg, probes: newProbes(), answers: newRecentAnswers()}
 	g.checker = newChecker(cfg, g.addDetected)
 	return g
 }
 
-// Broke implements serve.Guard.
-func (g *Guard) Broke(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool) {
-	g.checker.Broke(e, f, id, suspected)
+// RecordBroken implements serve.Guard.
+func (g *Guard) RecordBroken(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool) {
+	g.checker.RecordBroken(e, f, id, suspected)
 }
 
-// Refused implements serve.Guard.
-func (g *Guard) Refused(e fleet.Endpoint) { g.checker.Refused(e) }
+// RecordUnreachable implements serve.Guard.
+func (g *Guard) RecordUnreachable(e fleet.Endpoint) { g.checker.RecordUnreachable(e) }
 
-// Served implements serve.Guard.
-func (g *Guard) Served(e fleet.Endpoint, f fleet.Fingerprint, sentAt time.Time) {
+// RecordServed implements serve.Guard.
+func (g *Guard) RecordServed(e fleet.Endpoint, f fleet.Fingerprint, sentAt time.Time) {
 	now := g.cfg.Now()
-	for _, harmless := range g.checker.runs.Served(now, e.ID, f) {
-		g.Ledger.Clear(harmless)
+	for _, harmless := range g.checker.runs.RecordServed(now, e.ID, f) {
+		g.CrashLog.Clear(harmless)
 	}
 	g.answers.add(now, f.Content, answer{endpoint: e, sentAt: sentAt, answeredAt: now})
 }
 
 // Suspected implements serve.Guard.
-func (g *Guard) Suspected(f fleet.Fingerprint) bool { return g.Blocks.Suspected(f) }
+func (g *Guard) Suspected(f fleet.Fingerprint) bool { return g.Blocklist.Suspected(f) }
 
 // Blocked implements serve.Guard.
-func (g *Guard) Blocked(f fleet.Fingerprint) bool { return g.Blocks.Blocked(f) }
+func (g *Guard) Blocked(f fleet.Fingerprint) bool { return g.Blocklist.Blocked(f) }
 
 // addDetected records crashes that this host has detected itself.
-func (g *Guard) addDetected(crashes []fleet.Crash) {
-	if g.Ledger.Add(g.cfg.Now(), crashes) {
-		g.cfg.Crashed(crashes)
+func (g *Guard) addDetected(crashes []fleet.CrashReport) {
+	if g.CrashLog.Add(g.cfg.Now(), crashes) {
+		g.cfg.OnCrash(crashes)
 	}
 }
 
 // Take merges blocks and trials received from other hosts and returns those that are new.
 func (g *Guard) Take(now time.Time, blocks []fleet.Block) []fleet.Block {
-	added := g.Blocks.Add(now, blocks)
+	added := g.Blocklist.Add(now, blocks)
 	for _, b := range added {
 		if b.Suspect {
 			g.applyTrial(b.Request.Content)
@@ -94,10 +94,10 @@
 	return added
 }
 
-// applyTrial applies a new stage of a trial to the ledger.
+// applyTrial applies a new stage of a trial to the crash log.
 func (g *Guard) applyTrial(content uint64) {
-	if t, ok := g.Blocks.trialOf(content); ok && t.cleared() {
-		g.Ledger.ClearContent(content)
+	if t, ok := g.Blocklist.trialOf(content); ok && t.cleared() {
+		g.CrashLog.ClearContent(content)
 	}
 }
 
@@ -105,16 +105,16 @@
 // whether there are any new blocks or trials.
 func (g *Guard) Decide(now time.Time) bool {
 	changed := false
-	for _, v := range g.Ledger.Decide(now) {
+	for _, v := range g.CrashLog.Decide(now) {
 		if v.Suspect {
 			changed = g.startTrial(now, v) || changed
 			continue
 		}
-		if g.Blocks.Has(v.Request) {
+		if g.Blocklist.Has(v.Request) {
 			continue
 		}
 		changed = true
-		g.Blocks.Add(now, []fleet.Block{{Request: v.Request, Since: now.Unix()}})
+		g.Blocklist.Add(now, []fleet.Block{{Request: v.Request, Since: now.Unix()}})
 		g.log("request is blocked: endpoints crashed while running it", v)
 	}
 	return changed
@@ -124,7 +124,7 @@
 // it.
 func (g *Guard) startTrial(now time.Time, v Verdict) bool {
 	content := v.Request.Content
-	t, known := g.Blocks.trialOf(content)
+	t, known := g.Blocklist.trialOf(content)
 	if known && !t.cleared() {
 		return false
 	}
@@ -132,7 +132,7 @@
 	if known {
 		b.Trial = t.nextRound()
 	}
-	b.Trial.EndedAgo = now.Sub(v.Ended).Milliseconds()
+	b.Trial.LastCrashAgo = now.Sub(v.LastCrash).Milliseconds()
 	if len(g.Take(now, []fleet.Block{b})) == 0 {
 		return false
 	}
@@ -144,11 +144,11 @@
 	g.cfg.Log.Warn(msg, "content", fleet.Hex(v.Request.Content), "caller", fleet.Hex(v.Request.Caller), "endpoints", v.Endpoints)
 }
 
-// Unexplained returns the crashes to persist, by content: those of contents that ran at enough
+// CrashesToPersist returns the crashes to persist, by content: those of contents that ran at enough
 // crashes which no other content explains, and of contents whose trial has been open for long.
-func (g *Guard) Unexplained(now time.Time, minCrashes int, openFor time.Duration) map[uint64][]fleet.Crash {
-	return g.Ledger.Unexplained(now, func(content uint64, crashes int) bool {
-		t, ok := g.Blocks.trialOf(content)
+func (g *Guard) CrashesToPersist(now time.Time, minCrashes int, openFor time.Duration) map[uint64][]fleet.CrashReport {
+	return g.CrashLog.Attributed(now, func(content uint64, crashes int) bool {
+		t, ok := g.Blocklist.trialOf(content)
 		return crashes >= minCrashes || ok && !t.cleared() && now.Sub(t.lastCrashAt) >= openFor
 	})
 }
@@ -156,6 +156,6 @@
 // Prune removes expired state.
 func (g *Guard) Prune(now time.Time) {
 	g.checker.runs.Prune(now)
-	g.Ledger.Expire(now)
-	g.Blocks.Expire(now)
+	g.CrashLog.Expire(now)
+	g.Blocklist.Expire(now)
 }
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -25,21 +25,21 @@
 }
 
 // newTestGuard returns a guard whose endpoint checks return the given results, the last one
-// repeatedly, and the number of calls of Crashed.
+// repeatedly, and the number of calls of OnCrash.
 func newTestGuard(announced bool, results ...checkResult) (g *quarantine.Guard, reports *atomic.Int32) {
 	reports = new(atomic.Int32)
 	g = quarantine.NewGuard(quarantine.Config{
-		Ended: func(context.Context, fleet.Endpoint) (bool, error) {
+		Terminated: func(context.Context, fleet.Endpoint) (bool, error) {
 			l := results[0]
 			if len(results) > 1 {
 				results = results[1:]
 			}
 			return l.ended, l.err
 		},
-		Announced: func(fleet.EndpointID) bool { return announced },
-		Crashed:   func([]fleet.Crash) { reports.Add(1) },
-		Now:       time.Now,
-		Log:       slog.New(slog.DiscardHandler),
+		ShutdownAnnounced: func(fleet.EndpointID) bool { return announced },
+		OnCrash:           func([]fleet.CrashReport) { reports.Add(1) },
+		Now:               time.Now,
+		Log:               slog.New(slog.DiscardHandler),
 	})
 	return g, reports
 }
@@ -66,10 +66,10 @@
 				is := is.New(t)
 				g, reports := newTestGuard(c.announced, c.results...)
 				e := fleet.Endpoint{ID: "e"}
-				g.Broke(e, requestsBy(client, harmful)[0], 1, true)
-				g.Broke(e, requestsBy(client, harmful)[0], 1, true) // must not start a second series of checks
+				g.RecordBroken(e, requestsBy(client, harmful)[0], 1, true)
+				g.RecordBroken(e, requestsBy(client, harmful)[0], 1, true) // must not start a second series of checks
 				time.Sleep(2 * time.Second)
-				crashes, _ := g.Ledger.Since(time.Now(), 0, 10)
+				crashes, _ := g.CrashLog.Since(time.Now(), 0, 10)
 				is.Equal(len(crashes), c.want)
 				is.Equal(int(reports.Load()), c.want)
 			})
@@ -85,21 +85,21 @@
 			is := is.New(t)
 			var ended atomic.Bool
 			g := quarantine.NewGuard(quarantine.Config{
-				Ended:     func(context.Context, fleet.Endpoint) (bool, error) { return ended.Load(), nil },
-				Announced: func(fleet.EndpointID) bool { return false },
-				Crashed:   func([]fleet.Crash) {},
-				Now:       time.Now,
-				Log:       slog.New(slog.DiscardHandler),
+				Terminated:        func(context.Context, fleet.Endpoint) (bool, error) { return ended.Load(), nil },
+				ShutdownAnnounced: func(fleet.EndpointID) bool { return false },
+				OnCrash:           func([]fleet.CrashReport) {},
+				Now:               time.Now,
+				Log:               slog.New(slog.DiscardHandler),
 			})
 			e := fleet.Endpoint{ID: "e"}
-			g.Broke(e, requestsBy(client, innocent)[0], 1, true)
+			g.RecordBroken(e, requestsBy(client, innocent)[0], 1, true)
 			time.Sleep(secondBreak)
-			g.Broke(e, requestsBy(client, harmful)[0], 1, true)
+			g.RecordBroken(e, requestsBy(client, harmful)[0], 1, true)
 			time.Sleep(50 * time.Millisecond)
 			ended.Store(true)
 			time.Sleep(2 * time.Second)
-			crashes, _ := g.Ledger.Since(time.Now(), 0, 10)
-			is.True(slices.ContainsFunc(crashes, func(c fleet.Crash) bool { return c.Request.Content == harmful }))
+			crashes, _ := g.CrashLog.Since(time.Now(), 0, 10)
+			is.True(slices.ContainsFunc(crashes, func(c fleet.CrashReport) bool { return c.Request.Content == harmful }))
 		})
 	}
 }
@@ -111,17 +111,17 @@
 		is := is.New(t)
 		g, _ := newTestGuard(false, checkResult{ended: true})
 		e := fleet.Endpoint{ID: "e"}
-		g.Broke(e, requestsBy(client, 4)[0], 1, false)
+		g.RecordBroken(e, requestsBy(client, 4)[0], 1, false)
 		time.Sleep(time.Second)
-		g.Broke(e, requestsBy(client, 5)[0], 1, false) // its client disconnects
+		g.RecordBroken(e, requestsBy(client, 5)[0], 1, false) // its client disconnects
 		time.Sleep(100 * time.Millisecond)
-		g.Broke(e, requestsBy(client, harmful)[0], 1, true)
+		g.RecordBroken(e, requestsBy(client, harmful)[0], 1, true)
 		time.Sleep(50 * time.Millisecond)
-		g.Broke(e, requestsBy(client, innocent)[0], 1, true)
+		g.RecordBroken(e, requestsBy(client, innocent)[0], 1, true)
 		time.Sleep(time.Second)
-		g.Broke(e, requestsBy(client, other)[0], 1, true) // after the crash was detected
+		g.RecordBroken(e, requestsBy(client, other)[0], 1, true) // after the crash was detected
 		synctest.Wait()
-		crashes, _ := g.Ledger.Since(time.Now(), 0, 10)
+		crashes, _ := g.CrashLog.Since(time.Now(), 0, 10)
 		reported := map[uint64]bool{}
 		for _, c := range crashes {
 			reported[c.Request.Content] = true
@@ -137,17 +137,17 @@
 		is := is.New(t)
 		g, reports := newTestGuard(false, checkResult{ended: true})
 		e := fleet.Endpoint{ID: "e"}
-		g.Refused(e) // no run at this endpoint yet
+		g.RecordUnreachable(e) // no run at this endpoint yet
 		time.Sleep(time.Second)
 		is.Equal(reports.Load(), int32(0))
-		g.Broke(e, requestsBy(client, harmful)[0], 1, false)
+		g.RecordBroken(e, requestsBy(client, harmful)[0], 1, false)
 		time.Sleep(700 * time.Millisecond)
-		g.Refused(e)
+		g.RecordUnreachable(e)
 		time.Sleep(time.Second)
 		is.Equal(reports.Load(), int32(1))
-		g.Broke(fleet.Endpoint{ID: "e2"}, requestsBy(client, harmful)[0], 1, false)
+		g.RecordBroken(fleet.Endpoint{ID: "e2"}, requestsBy(client, harmful)[0], 1, false)
 		time.Sleep(5 * time.Second)
-		g.Refused(fleet.Endpoint{ID: "e2"}) // the last run there was too long ago
+		g.RecordUnreachable(fleet.Endpoint{ID: "e2"}) // the last run there was too long ago
 		time.Sleep(time.Second)
 		is.Equal(reports.Load(), int32(1))
 	})
@@ -160,17 +160,17 @@
 		is := is.New(t)
 		g, reports := newTestGuard(false, checkResult{ended: true})
 		e := fleet.Endpoint{ID: "e"}
-		g.Served(e, requestsBy(client, 4)[0], time.Now())
+		g.RecordServed(e, requestsBy(client, 4)[0], time.Now())
 		time.Sleep(600 * time.Millisecond)
-		g.Served(e, requestsBy(client, harmful)[0], time.Now())
+		g.RecordServed(e, requestsBy(client, harmful)[0], time.Now())
 		time.Sleep(50 * time.Millisecond)
-		g.Broke(e, requestsBy(client, innocent)[0], 1, true)
+		g.RecordBroken(e, requestsBy(client, innocent)[0], 1, true)
 		time.Sleep(time.Second)
 		is.Equal(reports.Load(), int32(1))
-		crashes, _ := g.Ledger.Since(time.Now(), 0, 10)
+		crashes, _ := g.CrashLog.Since(time.Now(), 0, 10)
 		is.Equal(len(crashes), 2) // the request that was answered long before is not reported
-		g.Served(e, requestsBy(client, other)[0], time.Now())
-		crashes, _ = g.Ledger.Since(time.Now(), 0, 10)
+		g.RecordServed(e, requestsBy(client, other)[0], time.Now())
+		crashes, _ = g.CrashLog.Since(time.Now(), 0, 10)
 		is.Equal(len(crashes), 2) // a later answer does not clear them
 	})
 }
@@ -183,13 +183,13 @@
 		g, _ := newTestGuard(false, checkResult{ended: true})
 		f := requestsBy(client, harmful)[0]
 		for i := range 3 {
-			g.Ledger.Add(time.Now(), crashReports(i, testCrash{requests: []fleet.Fingerprint{f}}))
+			g.CrashLog.Add(time.Now(), crashReports(i, testCrash{requests: []fleet.Fingerprint{f}}))
 			time.Sleep(time.Second)
 		}
 		e := fleet.Endpoint{ID: "fourth"}
-		g.Served(e, f, time.Now())
+		g.RecordServed(e, f, time.Now())
 		time.Sleep(50 * time.Millisecond)
-		g.Served(e, requestsBy(client, other)[0], time.Now())
+		g.RecordServed(e, requestsBy(client, other)[0], time.Now())
 		g.Decide(time.Now())
 		is.True(g.Blocked(f))
 	})
@@ -202,11 +202,11 @@
 		is := is.New(t)
 		g, _ := newTestGuard(false, checkResult{}, checkResult{}, checkResult{}, checkResult{ended: true})
 		e := fleet.Endpoint{ID: "e"}
-		g.Broke(e, requestsBy(client, innocent)[0], 1, true)
+		g.RecordBroken(e, requestsBy(client, innocent)[0], 1, true)
 		time.Sleep(600 * time.Millisecond)
-		g.Broke(e, requestsBy(client, harmful)[0], 1, true)
+		g.RecordBroken(e, requestsBy(client, harmful)[0], 1, true)
 		time.Sleep(time.Second)
-		crashes, _ := g.Ledger.Since(time.Now(), 0, 10)
+		crashes, _ := g.CrashLog.Since(time.Now(), 0, 10)
 		is.Equal(len(crashes), 1)
 		is.Equal(crashes[0].Request.Content, harmful)
 	})
@@ -219,17 +219,17 @@
 		is := is.New(t)
 		var checks atomic.Int32
 		g := quarantine.NewGuard(quarantine.Config{
-			Ended: func(context.Context, fleet.Endpoint) (bool, error) {
+			Terminated: func(context.Context, fleet.Endpoint) (bool, error) {
 				checks.Add(1)
 				return true, nil
 			},
-			Announced: func(fleet.EndpointID) bool { return false },
-			Crashed:   func([]fleet.Crash) {},
-			Now:       time.Now,
-			Log:       slog.New(slog.DiscardHandler),
+			ShutdownAnnounced: func(fleet.EndpointID) bool { return false },
+			OnCrash:           func([]fleet.CrashReport) {},
+			Now:               time.Now,
+			Log:               slog.New(slog.DiscardHandler),
 		})
 		for range 5 {
-			g.Refused(fleet.Endpoint{ID: "e"})
+			g.RecordUnreachable(fleet.Endpoint{ID: "e"})
 			time.Sleep(time.Second)
 		}
 		is.Equal(checks.Load(), int32(0))
@@ -237,9 +237,9 @@
 }
 
 // The numbers of blocks and of trials are bounded, and those in force are kept.
-func TestBlocksAreBounded(t *testing.T) {
+func TestBlocklistIsBounded(t *testing.T) {
 	is := is.New(t)
-	b := quarantine.NewBlocks()
+	b := quarantine.NewBlocklist()
 	for i := range 2000 {
 		for _, suspect := range []bool{false, true} {
 			b.Add(start(), []fleet.Block{{Request: fleet.BlockedRequest{Content: uint64(i + 1)}, Since: start().Unix(), Suspect: suspect}})
@@ -256,7 +256,7 @@
 	g, _ := newTestGuard(false, checkResult{ended: true})
 	for i := range 2 {
 		is.True(!g.Suspected(requestsBy(client, harmful)[0]))
-		g.Ledger.Add(start(), crashReports(i, testCrash{requests: requestsBy(client, harmful)}))
+		g.CrashLog.Add(start(), crashReports(i, testCrash{requests: requestsBy(client, harmful)}))
 		g.Decide(start().Add(time.Duration(i) * time.Second))
 	}
 	is.True(g.Suspected(requestsBy(otherClient, harmful)[0]))
@@ -283,13 +283,13 @@
 				f := requestsBy(client, innocent)[0]
 				serveAndSurvive := func() {
 					e := fleet.Endpoint{ID: "lives"}
-					g.Served(e, f, time.Now())
+					g.RecordServed(e, f, time.Now())
 					time.Sleep(1100 * time.Millisecond)
-					g.Served(e, requestsBy(client, other)[0], time.Now())
+					g.RecordServed(e, requestsBy(client, other)[0], time.Now())
 				}
 				serveAndSurvive()
 				for _, id := range []fleet.EndpointID{"e1", "e2", "e3", "e4"} {
-					g.Broke(fleet.Endpoint{ID: id}, f, 1, true)
+					g.RecordBroken(fleet.Endpoint{ID: id}, f, 1, true)
 					time.Sleep(time.Second)
 					if c.between {
 						serveAndSurvive()
@@ -306,16 +306,16 @@
 // from a host whose clock is behind.
 func TestExpiredBlockIsNotAddedAgain(t *testing.T) {
 	is := is.New(t)
-	b := quarantine.NewBlocks()
+	b := quarantine.NewBlocklist()
 	block := fleet.Block{Request: fleet.BlockedRequest{Content: harmful, Caller: client}, Since: start().Unix()}
 	is.Equal(len(b.Add(start(), []fleet.Block{block})), 1)
 	is.Equal(len(b.Add(start(), []fleet.Block{block})), 0)
 	is.True(b.Blocked(requestsBy(client, harmful)[0]))
 	is.True(!b.Blocked(requestsBy(otherClient, harmful)[0]))
-	is.True(b.Sum() != 0)
+	is.True(b.Checksum() != 0)
 	later := start().Add(time.Hour + 2*time.Second)
 	b.Expire(later)
 	is.Equal(len(b.Add(later, []fleet.Block{block})), 0)
 	is.True(!b.Blocked(requestsBy(client, harmful)[0]))
-	is.Equal(b.Sum(), uint64(0))
+	is.Equal(b.Checksum(), uint64(0))
 }
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -60,7 +60,7 @@
 // Enter implements serve.Guard.
 func (g *Guard) Enter(ctx context.Context, f fleet.Fingerprint, deadline time.Time) (serve.Probe, bool) {
 	for {
-		changes := g.Blocks.Changes()
+		changes := g.Blocklist.Changes()
 		if !g.Suspected(f) || g.Blocked(f) {
 			return nil, true
 		}
@@ -91,8 +91,8 @@
 	g := p.guard
 	deadline := g.cfg.Now().Add(grantTimeout)
 	for {
-		changes := g.Blocks.Changes()
-		t, ok := g.Blocks.trialOf(p.request.Content)
+		changes := g.Blocklist.Changes()
+		t, ok := g.Blocklist.trialOf(p.request.Content)
 		switch {
 		case g.Blocked(p.request):
 			return false
@@ -101,8 +101,8 @@
 		case t.Stage == fleet.TrialGranted && t.Host == g.cfg.Host:
 			p.grant = t.Trial
 			return true
-		case t.Stage == fleet.TrialHeld:
-			g.advanceTrial(p.request.Content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialAsked, Host: g.cfg.Host})
+		case t.Stage == fleet.TrialWaiting:
+			g.advanceTrial(p.request.Content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialRequested, Host: g.cfg.Host})
 		}
 		if !g.waitForChange(ctx, changes, deadline) {
 			return false
@@ -131,23 +131,23 @@
 	content := p.request.Content
 	p.guard.probes.remove(content)
 	p.guard.releaseGrant(content)
-	p.guard.Blocks.Wake()
+	p.guard.Blocklist.Notify()
 }
 
 // advanceTrial advances the trial if it is still in the stage from.
 func (g *Guard) advanceTrial(content uint64, from, to fleet.Trial) {
-	if !g.Blocks.advanceTrial(g.cfg.Now(), content, from, to) {
+	if !g.Blocklist.advanceTrial(g.cfg.Now(), content, from, to) {
 		return
 	}
 	g.cfg.Log.Info("trial of a suspect request changed stage", "content", fleet.Hex(content), "round", to.Round, "stage", to.Stage.String(), "host", to.Host)
 	g.applyTrial(content)
-	g.cfg.Moved()
+	g.cfg.OnTrialChange()
 }
 
 // releaseGrant releases the grant that this host has or has asked for.
 func (g *Guard) releaseGrant(content uint64) {
-	t, ok := g.Blocks.trialOf(content)
-	if ok && !t.cleared() && t.Host == g.cfg.Host && t.Stage != fleet.TrialHeld {
+	t, ok := g.Blocklist.trialOf(content)
+	if ok && !t.cleared() && t.Host == g.cfg.Host && t.Stage != fleet.TrialWaiting {
 		g.advanceTrial(content, t.Trial, t.nextRound())
 	}
 }
@@ -155,7 +155,7 @@
 // clearTrial ends the trial after an endpoint has survived a copy.
 func (g *Guard) clearTrial(content uint64) {
 	for {
-		t, ok := g.Blocks.trialOf(content)
+		t, ok := g.Blocklist.trialOf(content)
 		if !ok || t.cleared() {
 			return
 		}
@@ -179,9 +179,9 @@
 // Grant grants one copy in each trial whose last crash has been evaluated, and revokes expired
 // grants. It is called by the controller, which receives all crash reports.
 func (g *Guard) Grant(now time.Time) {
-	for content, t := range g.Blocks.openTrials() {
+	for content, t := range g.Blocklist.openTrials() {
 		switch {
-		case t.Stage == fleet.TrialAsked && now.Sub(g.Ledger.LastHeard(content)) >= tieDelay:
+		case t.Stage == fleet.TrialRequested && now.Sub(g.CrashLog.LastReportedAt(content)) >= tieDelay:
 			g.advanceTrial(content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialGranted, Host: t.Host})
 		case t.Stage == fleet.TrialGranted && now.Sub(t.changedAt) > grantTTL:
 			g.advanceTrial(content, t.Trial, t.nextRound())
@@ -189,18 +189,18 @@
 	}
 }
 
-// GrantOwn grants this host the copies that it asks for, each at a time derived from host, content
+// GrantLocally grants this host the copies that it asks for, each at a time derived from host, content
 // and round within span after the last crash. It is called while the host is isolated. Other hosts
 // may be isolated too, and read the result of this host's copy from the store before they run
 // theirs.
-func (g *Guard) GrantOwn(now time.Time, span time.Duration) {
-	for content, t := range g.Blocks.openTrials() {
+func (g *Guard) GrantLocally(now time.Time, span time.Duration) {
+	for content, t := range g.Blocklist.openTrials() {
 		expired := now.Sub(t.changedAt) > grantTTL
 		switch {
-		case t.Host != g.cfg.Host && t.Stage != fleet.TrialHeld && expired:
+		case t.Host != g.cfg.Host && t.Stage != fleet.TrialWaiting && expired:
 			g.advanceTrial(content, t.Trial, t.nextRound())
-		case t.Host != g.cfg.Host || t.Stage != fleet.TrialAsked:
-		case now.Sub(t.lastCrashAt) >= g.localGrantDelay(t.Trial, content, span) && now.Sub(g.Ledger.LastHeard(content)) >= tieDelay:
+		case t.Host != g.cfg.Host || t.Stage != fleet.TrialRequested:
+		case now.Sub(t.lastCrashAt) >= g.localGrantDelay(t.Trial, content, span) && now.Sub(g.CrashLog.LastReportedAt(content)) >= tieDelay:
 			g.advanceTrial(content, t.Trial, fleet.Trial{Round: t.Round, Stage: fleet.TrialGranted, Host: t.Host})
 		}
 	}
@@ -214,9 +214,9 @@
 	return time.Duration(float64(span) * float64(h.Sum32()) / math.MaxUint32)
 }
 
-// Tend clears the suspects of which this host has served a copy, and releases unused grants.
-func (g *Guard) Tend(now time.Time) {
-	for content, t := range g.Blocks.openTrials() {
+// UpdateTrials clears the suspects of which this host has served a copy, and releases unused grants.
+func (g *Guard) UpdateTrials(now time.Time) {
+	for content, t := range g.Blocklist.openTrials() {
 		g.clearIfServed(now, content, t)
 		if t.Host == g.cfg.Host && now.Sub(t.changedAt) >= unusedGrantTimeout && !g.probes.has(content) {
 			g.releaseGrant(content)
--- a/pkg/quarantine/runs.go
+++ b/pkg/quarantine/runs.go
@@ -27,9 +27,9 @@
 	runRetention = 10 * time.Second
 )
 
-// Runs holds this host's recent runs by endpoint, until it is known whether the endpoint has
+// RecentRuns holds this host's recent runs by endpoint, until it is known whether the endpoint has
 // crashed. It is safe for concurrent use.
-type Runs struct {
+type RecentRuns struct {
 	mu        sync.Mutex
 	endpoints map[fleet.EndpointID]*endpointRuns
 }
@@ -52,12 +52,12 @@
 	id      fleet.CopyID
 }
 
-// NewRuns returns an empty set of runs.
-func NewRuns() *Runs { return &Runs{endpoints: map[fleet.EndpointID]*endpointRuns{}} }
+// NewRecentRuns returns an empty set of runs.
+func NewRecentRuns() *RecentRuns { return &RecentRuns{endpoints: map[fleet.EndpointID]*endpointRuns{}} }
 
-// Broke records a run that broke off. It returns a crash report if the endpoint is known to have
+// RecordBroken records a run that broke off. It returns a crash report if the endpoint is known to have
 // crashed.
-func (r *Runs) Broke(now time.Time, id fleet.EndpointID, f fleet.Fingerprint, c fleet.CopyID) []fleet.Crash {
+func (r *RecentRuns) RecordBroken(now time.Time, id fleet.EndpointID, f fleet.Fingerprint, c fleet.CopyID) []fleet.CrashReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.forEndpoint(id)
@@ -66,12 +66,12 @@
 		b.brokenAt[requestCopy{f, c}] = now
 		return nil
 	}
-	return []fleet.Crash{newCrash(now, id, requestCopy{f, c}, b.crashedAt)}
+	return []fleet.CrashReport{newCrash(now, id, requestCopy{f, c}, b.crashedAt)}
 }
 
 // forEndpoint returns the runs at an endpoint, which it creates if there are none. It must be
 // called with r.mu held.
-func (r *Runs) forEndpoint(id fleet.EndpointID) *endpointRuns {
+func (r *RecentRuns) forEndpoint(id fleet.EndpointID) *endpointRuns {
 	b := r.endpoints[id]
 	if b == nil {
 		b = &endpointRuns{brokenAt: map[requestCopy]time.Time{}, servedAt: map[fleet.Fingerprint]time.Time{}}
@@ -80,9 +80,9 @@
 	return b
 }
 
-// Served records a complete answer. It returns the requests that this clears: those answered at
+// RecordServed records a complete answer. It returns the requests that this clears: those answered at
 // least survivalTime ago by the same endpoint.
-func (r *Runs) Served(now time.Time, id fleet.EndpointID, f fleet.Fingerprint) []fleet.Fingerprint {
+func (r *RecentRuns) RecordServed(now time.Time, id fleet.EndpointID, f fleet.Fingerprint) []fleet.Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.forEndpoint(id)
@@ -100,9 +100,9 @@
 	return cleared
 }
 
-// Ended records that the endpoint crashed at the given time, and returns a report for each request
+// RecordCrash records that the endpoint crashed at the given time, and returns a report for each request
 // that may have been running there.
-func (r *Runs) Ended(now, at time.Time, id fleet.EndpointID) []fleet.Crash {
+func (r *RecentRuns) RecordCrash(now, at time.Time, id fleet.EndpointID) []fleet.CrashReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.endpoints[id]
@@ -111,7 +111,7 @@
 	}
 	b.crashedAt = at
 	b.lastRunAt = now
-	var out []fleet.Crash
+	var out []fleet.CrashReport
 	for c, brokenAt := range b.brokenAt {
 		if at.Sub(brokenAt) <= brokenWindow {
 			out = append(out, newCrash(now, id, c, at))
@@ -127,8 +127,8 @@
 	return out
 }
 
-// Lives records that the endpoint was found alive and discards the runs that broke off before.
-func (r *Runs) Lives(now time.Time, id fleet.EndpointID) {
+// RecordAlive records that the endpoint was found alive and discards the runs that broke off before.
+func (r *RecentRuns) RecordAlive(now time.Time, id fleet.EndpointID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.endpoints[id]
@@ -138,9 +138,9 @@
 	maps.DeleteFunc(b.brokenAt, func(_ requestCopy, brokenAt time.Time) bool { return now.Sub(brokenAt) > exitDelay })
 }
 
-// EndedLately reports whether a run at the endpoint ended recently enough to be the cause if the
+// RanRecently reports whether a run at the endpoint ended recently enough to be the cause if the
 // endpoint now refuses connections.
-func (r *Runs) EndedLately(now time.Time, id fleet.EndpointID) bool {
+func (r *RecentRuns) RanRecently(now time.Time, id fleet.EndpointID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := r.endpoints[id]
@@ -148,7 +148,7 @@
 }
 
 // Prune removes endpoints without recent runs.
-func (r *Runs) Prune(now time.Time) {
+func (r *RecentRuns) Prune(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, b := range r.endpoints {
@@ -158,6 +158,6 @@
 	}
 }
 
-func newCrash(now time.Time, id fleet.EndpointID, c requestCopy, at time.Time) fleet.Crash {
-	return fleet.Crash{Request: c.request, Endpoint: id, Ago: now.Sub(at).Milliseconds(), Copy: c.id}
+func newCrash(now time.Time, id fleet.EndpointID, c requestCopy, at time.Time) fleet.CrashReport {
+	return fleet.CrashReport{Request: c.request, Endpoint: id, Ago: now.Sub(at).Milliseconds(), CopyID: c.id}
 }
--- a/pkg/quarantine/trial.go
+++ b/pkg/quarantine/trial.go
@@ -33,7 +33,7 @@
 // toBlock returns the trial in the form in which hosts exchange it.
 func (t trial) toBlock(now time.Time, content uint64) fleet.Block {
 	b := fleet.Block{Request: fromAnyCaller(content), Since: t.suspectedAt, Suspect: true, Trial: t.Trial}
-	b.Trial.EndedAgo = now.Sub(t.lastCrashAt).Milliseconds()
+	b.Trial.LastCrashAgo = now.Sub(t.lastCrashAt).Milliseconds()
 	return b
 }
 
@@ -50,10 +50,10 @@
 
 // addTrial stores the trial and reports whether it is later than the known one. It must be called
 // with b.mu held.
-func (b *Blocks) addTrial(now time.Time, x fleet.Block) bool {
+func (b *Blocklist) addTrial(now time.Time, x fleet.Block) bool {
 	content := x.Request.Content
 	old, known := b.trials[content]
-	if known && !x.Trial.After(old.Trial) || !known && len(b.trials) >= maxBlocks {
+	if known && !x.Trial.Supersedes(old.Trial) || !known && len(b.trials) >= maxBlocks {
 		return false
 	}
 	var before uint64
@@ -61,15 +61,15 @@
 		before = hashBlock(old.toBlock(now, content))
 	}
 	t := trial{Trial: x.Trial, suspectedAt: max(x.Since, old.suspectedAt), changedAt: now}
-	t.EndedAgo = 0
-	t.lastCrashAt = now.Add(-time.Duration(x.Trial.EndedAgo) * time.Millisecond)
+	t.LastCrashAgo = 0
+	t.lastCrashAt = now.Add(-time.Duration(x.Trial.LastCrashAgo) * time.Millisecond)
 	b.trials[content] = t
 	b.recordChange(before ^ hashBlock(t.toBlock(now, content)))
 	return true
 }
 
 // advanceTrial sets the stage of the trial and reports whether it was still in the stage from.
-func (b *Blocks) advanceTrial(now time.Time, content uint64, from, to fleet.Trial) bool {
+func (b *Blocklist) advanceTrial(now time.Time, content uint64, from, to fleet.Trial) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t, ok := b.trials[content]
@@ -77,13 +77,13 @@
 		return false
 	}
 	x := t.toBlock(now, content)
-	to.EndedAgo = x.Trial.EndedAgo
+	to.LastCrashAgo = x.Trial.LastCrashAgo
 	x.Trial = to
 	return b.addTrial(now, x)
 }
 
 // trialOf returns the trial of the content.
-func (b *Blocks) trialOf(content uint64) (t trial, ok bool) {
+func (b *Blocklist) trialOf(content uint64) (t trial, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t, ok = b.trials[content]
@@ -91,7 +91,7 @@
 }
 
 // openTrials returns the trials that have not ended, by content.
-func (b *Blocks) openTrials() map[uint64]trial {
+func (b *Blocklist) openTrials() map[uint64]trial {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[uint64]trial{}
@@ -104,7 +104,7 @@
 }
 
 // Suspected reports whether the request is on trial.
-func (b *Blocks) Suspected(f fleet.Fingerprint) bool {
+func (b *Blocklist) Suspected(f fleet.Fingerprint) bool {
 	t, ok := b.trialOf(f.Content)
 	return ok && !t.cleared()
 }
--- a/pkg/quarantine/trial_test.go
+++ b/pkg/quarantine/trial_test.go
@@ -18,21 +18,21 @@
 // newHost returns the guard of a host for which all endpoints are alive.
 func newHost(name string) *quarantine.Guard {
 	return quarantine.NewGuard(quarantine.Config{
-		Host:      name,
-		Ended:     func(context.Context, fleet.Endpoint) (bool, error) { return false, nil },
-		Announced: func(fleet.EndpointID) bool { return false },
-		Crashed:   func([]fleet.Crash) {},
-		Moved:     func() {},
-		Now:       time.Now,
-		Log:       slog.New(slog.DiscardHandler),
+		Host:              name,
+		Terminated:        func(context.Context, fleet.Endpoint) (bool, error) { return false, nil },
+		ShutdownAnnounced: func(fleet.EndpointID) bool { return false },
+		OnCrash:           func([]fleet.CrashReport) {},
+		OnTrialChange:     func() {},
+		Now:               time.Now,
+		Log:               slog.New(slog.DiscardHandler),
 	})
 }
 
 // addCrash records that an endpoint crashed while running several copies of a request.
 func addCrash(g *quarantine.Guard, endpoint string, content uint64, copies int) {
 	for i := range copies {
-		c := fleet.Crash{Request: requestsBy(client, content)[0], Endpoint: fleet.EndpointID(endpoint), Copy: fleet.CopyID(i + 1)}
-		g.Ledger.Add(time.Now(), []fleet.Crash{c})
+		c := fleet.CrashReport{Request: requestsBy(client, content)[0], Endpoint: fleet.EndpointID(endpoint), CopyID: fleet.CopyID(i + 1)}
+		g.CrashLog.Add(time.Now(), []fleet.CrashReport{c})
 	}
 }
 
@@ -42,9 +42,9 @@
 	hosts[0].Decide(now)
 	hosts[0].Grant(now)
 	for _, g := range hosts {
-		g.Tend(now)
+		g.UpdateTrials(now)
 		for _, other := range hosts {
-			other.Take(now, g.Blocks.All(now))
+			other.Take(now, g.Blocklist.All(now))
 		}
 	}
 	time.Sleep(20 * time.Millisecond)
@@ -85,7 +85,7 @@
 			}
 			is.Equal(len(running), 1)
 			addCrash(hosts[0], fmt.Sprint("further", round), harmful, 1)
-			(<-running).Done(fleet.Endpoint{}, serve.ProbeBroken)
+			(<-running).Done(fleet.Endpoint{}, serve.ProbeInterrupted)
 			time.Sleep(2 * time.Second)
 		}
 		for range 100 {
@@ -136,7 +136,7 @@
 		time.Sleep(100 * time.Millisecond)
 		sentAt := time.Now()
 		time.Sleep(100 * time.Millisecond)
-		hosts[1].Served(fleet.Endpoint{ID: "e2"}, f, sentAt)
+		hosts[1].RecordServed(fleet.Endpoint{ID: "e2"}, f, sentAt)
 		for range 60 {
 			exchange(hosts...)
 		}
@@ -216,10 +216,10 @@
 				},
 			}
 		}), 1, 12).Draw(t, "stages")
-		a, b := quarantine.NewBlocks(), quarantine.NewBlocks()
+		a, b := quarantine.NewBlocklist(), quarantine.NewBlocklist()
 		a.Add(start(), stages)
 		b.Add(start(), rapid.Permutation(append(stages, stages[0])).Draw(t, "other order"))
-		if a.Sum() != b.Sum() {
+		if a.Checksum() != b.Checksum() {
 			t.Fatalf("checksums differ: one host has %v, the other %v", a.All(start()), b.All(start()))
 		}
 	})
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -38,22 +38,22 @@
 // Record is the envelope of a log record. Exactly one body is set. A record
 // whose body is unknown to this build has no effect.
 type Record struct {
-	Version  int          `cbor:"1,keyasint"`
-	ID       ID           `cbor:"2,keyasint"`
-	Contract *Contract    `cbor:"3,keyasint,omitempty"`
-	Join     *HostJoin    `cbor:"4,keyasint,omitempty"`
-	Renew    *HostRenew   `cbor:"5,keyasint,omitempty"`
-	Gone     *HostGone    `cbor:"6,keyasint,omitempty"`
-	Claim    *PoolClaim   `cbor:"7,keyasint,omitempty"`
-	Handover *Handover    `cbor:"8,keyasint,omitempty"`
-	Quiesced *Quiesced    `cbor:"9,keyasint,omitempty"`
-	Plan     *Plan        `cbor:"10,keyasint,omitempty"`
-	Dispatch *Dispatch    `cbor:"11,keyasint,omitempty"`
-	Horizon  *Horizon     `cbor:"12,keyasint,omitempty"`
-	Snapshot *Snapshot    `cbor:"13,keyasint,omitempty"`
-	Defer    *Deferred    `cbor:"14,keyasint,omitempty"`
-	Finish   *DeferFinish `cbor:"15,keyasint,omitempty"`
-	Crashed  *Crashed     `cbor:"16,keyasint,omitempty"`
+	Version  int            `cbor:"1,keyasint"`
+	ID       ID             `cbor:"2,keyasint"`
+	Contract *Contract      `cbor:"3,keyasint,omitempty"`
+	Join     *HostJoin      `cbor:"4,keyasint,omitempty"`
+	Renew    *HostRenew     `cbor:"5,keyasint,omitempty"`
+	Gone     *HostGone      `cbor:"6,keyasint,omitempty"`
+	Claim    *PoolClaim     `cbor:"7,keyasint,omitempty"`
+	Handover *Handover      `cbor:"8,keyasint,omitempty"`
+	Quiesced *Quiesced      `cbor:"9,keyasint,omitempty"`
+	Plan     *Plan          `cbor:"10,keyasint,omitempty"`
+	Dispatch *Dispatch      `cbor:"11,keyasint,omitempty"`
+	Horizon  *Horizon       `cbor:"12,keyasint,omitempty"`
+	Snapshot *Snapshot      `cbor:"13,keyasint,omitempty"`
+	Defer    *Deferred      `cbor:"14,keyasint,omitempty"`
+	Finish   *DeferFinish   `cbor:"15,keyasint,omitempty"`
+	Crashed  *EndpointCrash `cbor:"16,keyasint,omitempty"`
 }
 
 // Contract publishes a customer's contract. It takes effect if Base is the
@@ -243,9 +243,9 @@
 	Body   []byte `cbor:"3,keyasint"`
 }
 
-// Crashed reports that an endpoint crashed with requests in flight. Every host
+// EndpointCrash reports that an endpoint crashed with requests in flight. Every host
 // that observes the crash reports its own requests.
-type Crashed struct {
+type EndpointCrash struct {
 	// Endpoint is the ID of a replica, or the incarnation of a service.
 	Endpoint string           `cbor:"1,keyasint"`
 	Requests []CrashedRequest `cbor:"2,keyasint"`
--- a/pkg/serve/guard.go
+++ b/pkg/serve/guard.go
@@ -13,14 +13,14 @@
 type Guard interface {
 	// Blocked reports whether the request must not be sent to any endpoint.
 	Blocked(f fleet.Fingerprint) bool
-	// Broke records that a run of a request at an endpoint ended without a complete response.
+	// RecordBroken records that a run of a request at an endpoint ended without a complete response.
 	// suspected reports whether no other cause than a crash of the endpoint is known.
-	Broke(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool)
-	// Refused records that no connection to the endpoint could be made.
-	Refused(e fleet.Endpoint)
-	// Served records that the endpoint completed the response to a request that was sent at
+	RecordBroken(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool)
+	// RecordUnreachable records that no connection to the endpoint could be made.
+	RecordUnreachable(e fleet.Endpoint)
+	// RecordServed records that the endpoint completed the response to a request that was sent at
 	// began.
-	Served(e fleet.Endpoint, f fleet.Fingerprint, began time.Time)
+	RecordServed(e fleet.Endpoint, f fleet.Fingerprint, began time.Time)
 	// Suspected reports whether the request is suspected of crashing endpoints. Such a request
 	// runs one copy at a time and is never sent to a second endpoint.
 	Suspected(f fleet.Fingerprint) bool
@@ -43,8 +43,8 @@
 const (
 	// ProbeNotRun means that the request certainly has not run.
 	ProbeNotRun ProbeOutcome = iota
-	// ProbeBroken means that the request may have run and has no complete response.
-	ProbeBroken
+	// ProbeInterrupted means that the request may have run and has no complete response.
+	ProbeInterrupted
 	// ProbeServed means that the response is complete.
 	ProbeServed
 )
@@ -67,21 +67,21 @@
 // recordBroken tells the guard about a run without a complete response.
 func (x *exchange) recordBroken(e fleet.Endpoint, suspected bool) {
 	if x.guarded() {
-		x.server.Guard.Broke(e, x.request.Fingerprint, fleet.NewCopyID(x.request.ID), suspected)
+		x.server.Guard.RecordBroken(e, x.request.Fingerprint, fleet.NewCopyID(x.request.ID), suspected)
 	}
 }
 
 // recordUnreachable tells the guard that no connection could be made.
 func (x *exchange) recordUnreachable(e fleet.Endpoint) {
 	if x.server.Guard != nil {
-		x.server.Guard.Refused(e)
+		x.server.Guard.RecordUnreachable(e)
 	}
 }
 
 // recordServed tells the guard about a run with a complete response.
 func (x *exchange) recordServed(e fleet.Endpoint, began time.Time) {
 	if x.guarded() {
-		x.server.Guard.Served(e, x.request.Fingerprint, began)
+		x.server.Guard.RecordServed(e, x.request.Fingerprint, began)
 	}
 }
 
--- a/pkg/serve/guard_test.go
+++ b/pkg/serve/guard_test.go
@@ -31,14 +31,14 @@
 	return g.blocks
 }
 
-func (g *fakeGuard) Broke(_ fleet.Endpoint, _ fleet.Fingerprint, _ fleet.CopyID, suspected bool) {
+func (g *fakeGuard) RecordBroken(_ fleet.Endpoint, _ fleet.Fingerprint, _ fleet.CopyID, suspected bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.broke = append(g.broke, suspected)
 	g.blocks = g.blocks || g.blockOnBreak
 }
 
-func (g *fakeGuard) Refused(fleet.Endpoint) {
+func (g *fakeGuard) RecordUnreachable(fleet.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refused++
@@ -63,7 +63,7 @@
 
 func (g *fakeGuard) Suspected(fleet.Fingerprint) bool { return g.suspect }
 
-func (g *fakeGuard) Served(fleet.Endpoint, fleet.Fingerprint, time.Time) {
+func (g *fakeGuard) RecordServed(fleet.Endpoint, fleet.Fingerprint, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.served++
@@ -194,7 +194,7 @@
 		cause serve.Cause
 	}{
 		{"response is complete", false, script{}, serve.ProbeServed, 1, ""},
-		{"response breaks off", false, script{lost: true}, serve.ProbeBroken, 1, serve.CauseBroken},
+		{"response breaks off", false, script{lost: true}, serve.ProbeInterrupted, 1, serve.CauseBroken},
 		{"probe gets no turn", true, script{}, serve.ProbeNotRun, 0, serve.CauseOnTrial},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/pkg/serve/server.go
+++ b/pkg/serve/server.go
@@ -197,7 +197,7 @@
 	case r == attemptDone && x.result.Complete:
 		return ProbeServed
 	}
-	return ProbeBroken
+	return ProbeInterrupted
 }
 
 // takeRetry takes a retry from the shared budget unless one is reserved, and reports whether
--- a/pkg/signals/table.go
+++ b/pkg/signals/table.go
@@ -247,9 +247,9 @@
 	return out
 }
 
-// Sum returns a checksum of all signals, 0 if there are none. It is equal at hosts that hold the
+// Checksum returns a checksum of all signals, 0 if there are none. It is equal at hosts that hold the
 // same signals.
-func (t *Table) Sum() uint64 {
+func (t *Table) Checksum() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.checksum
--- a/pkg/signals/table_test.go
+++ b/pkg/signals/table_test.go
@@ -137,7 +137,7 @@
 			}
 		}
 		for _, h := range hosts {
-			if h.Sum() != hosts[0].Sum() || len(h.All()) > 0 && h.All()[0] != hosts[0].All()[0] {
+			if h.Checksum() != hosts[0].Checksum() || len(h.All()) > 0 && h.All()[0] != hosts[0].All()[0] {
 				t.Fatalf("hosts differ: one has %v, the first %v", h.All(), hosts[0].All())
 			}
 		}
@@ -155,7 +155,7 @@
 	is.True(wait)
 	is.Equal(until, at(3*time.Second))
 	is.True(l.Use(at(3*time.Second), endpoint))
-	is.Equal(l.Sum(), uint64(0)) // it concerns this host only
+	is.Equal(l.Checksum(), uint64(0)) // it concerns this host only
 }
 
 // An endpoint advertises a rate and asks for a pause. The later of the two times must be returned.
--- a/pkg/state/crashes.go
+++ b/pkg/state/crashes.go
@@ -13,7 +13,7 @@
 // EndpointCrash is a crash of an endpoint that had requests in flight.
 type EndpointCrash struct {
 	Offset record.Offset
-	record.Crashed
+	record.EndpointCrash
 }
 
 // Crashes holds the most recent endpoint crashes.
@@ -26,10 +26,10 @@
 
 // add records a crash and drops the oldest above maxCrashes. Each host reports
 // its own requests, so one crash may be added several times.
-func (c *Crashes) add(off record.Offset, r record.Crashed) {
+func (c *Crashes) add(off record.Offset, r record.EndpointCrash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.list = append(c.list, EndpointCrash{Offset: off, Crashed: r})
+	c.list = append(c.list, EndpointCrash{Offset: off, EndpointCrash: r})
 	if len(c.list) > maxCrashes {
 		c.list = slices.Delete(c.list, 0, len(c.list)-maxCrashes)
 	}
--- a/pkg/state/state_test.go
+++ b/pkg/state/state_test.go
@@ -163,7 +163,7 @@
 	case 5:
 		return record.Record{Dispatch: &record.Dispatch{Holder: host, Releases: []record.KeyRelease{{Key: key}}}}
 	case 8:
-		return record.Record{Crashed: &record.Crashed{Endpoint: key.Value, Requests: []record.CrashedRequest{{Content: 1}}}}
+		return record.Record{Crashed: &record.EndpointCrash{Endpoint: key.Value, Requests: []record.CrashedRequest{{Content: 1}}}}
 	case 6:
 		return record.Record{Defer: &record.Deferred{ID: key.Value, Customer: "c"}}
 	default:
@@ -206,7 +206,7 @@
 	is.True(errors.Is(f.st.Replace(old), state.ErrStale))
 	e, _ := f.st.Contracts.Get("c")
 	is.Equal(e.Version, uint64(2))
-	f.apply(record.Record{Crashed: &record.Crashed{Endpoint: "e"}})
+	f.apply(record.Record{Crashed: &record.EndpointCrash{Endpoint: "e"}})
 	newer := restore(t, f.st)
 	is.NoErr(old.Replace(newer))
 	is.Equal(len(old.Crashes.After(0)), 1)
@@ -219,7 +219,7 @@
 	is := is.New(t)
 	f := newFixture(t)
 	for range 1000 {
-		f.apply(record.Record{Crashed: &record.Crashed{Endpoint: "e"}})
+		f.apply(record.Record{Crashed: &record.EndpointCrash{Endpoint: "e"}})
 	}
 	kept := f.st.Crashes.After(0)
 	is.Equal(len(kept), 256)
