--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -38,7 +38,7 @@
 	random   *rand.Rand
 	now      time.Time
 	hosts    []*allowance.Local
-	sums     *allowance.Sums
+	sums     *allowance.Aggregator
 	levels   *allowance.Levels
 	inFlight []message
 	account  fleet.Account
@@ -50,7 +50,7 @@
 	admitted, requested []float64
 	refused             int
 	// unsent holds the reports that each host could not send yet.
-	unsent []*allowance.Sums
+	unsent []*allowance.Aggregator
 	// risen is set where a rise has to be reported at once.
 	risen []bool
 }
@@ -59,7 +59,7 @@
 	f := &simulation{
 		random:           rand.New(rand.NewPCG(seed, 1)),
 		now:              time.Unix(1000, 0),
-		sums:             allowance.NewSums(),
+		sums:             allowance.NewAggregator(),
 		levels:           allowance.NewLevels(allowance.Tolerance{Over: over, Slack: slack, Window: window}),
 		weight:           make([]float64, hosts),
 		partitionedUntil: make([]time.Time, hosts),
@@ -69,7 +69,7 @@
 	for i := range hosts {
 		l := allowance.NewLocal(func() { f.risen[i] = true })
 		l.SetHosts(hosts)
-		f.unsent = append(f.unsent, allowance.NewSums())
+		f.unsent = append(f.unsent, allowance.NewAggregator())
 		f.hosts = append(f.hosts, l)
 	}
 	for range callers {
@@ -138,8 +138,8 @@
 		if tick%200 == 0 || tick%40 == 0 && f.risen[i+1] {
 			f.risen[i+1] = false
 			uses := f.unsent[i+1].Sum(f.now, h.Uses(f.now), allowance.RelayTTL)
-			if !f.send(i+1, func() { f.sums.Take(f.now, fmt.Sprint(i), uses, allowance.ControllerTTL) }) {
-				f.unsent[i+1].AddLet(uses)
+			if !f.send(i+1, func() { f.sums.Add(f.now, fmt.Sprint(i), uses, allowance.ControllerTTL) }) {
+				f.unsent[i+1].AddAdmitted(uses)
 			}
 		}
 	}
@@ -348,9 +348,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			s := allowance.NewSums()
+			s := allowance.NewAggregator()
 			now := time.Unix(1000, 0)
-			s.Take(now, "h", []fleet.AccountUse{{Account: "a", Usual: 100, Served: 100, Let: 10}}, c.ttl)
+			s.Add(now, "h", []fleet.AccountUse{{Account: "a", Usual: 100, Served: 100, Let: 10}}, c.ttl)
 			now = now.Add(2 * time.Second)
 			uses := s.Sum(now, nil, allowance.ControllerTTL)
 			is.Equal(len(uses), 1)
--- a/pkg/allowance/levels.go
+++ b/pkg/allowance/levels.go
@@ -44,9 +44,9 @@
 	maxLevels = 256
 )
 
-// Sums aggregates the usage reports of hosts: rates by the newest report of each host, and admitted
+// Aggregator aggregates the usage reports of hosts: rates by the newest report of each host, and admitted
 // amounts once. It is not safe for concurrent use.
-type Sums struct {
+type Aggregator struct {
 	hosts map[string]hostReport
 	// admitted is the amount admitted since the last sum, by account.
 	admitted map[string]float64
@@ -58,18 +58,20 @@
 	uses []fleet.AccountUse
 }
 
-// NewSums returns empty sums.
-func NewSums() *Sums { return &Sums{hosts: map[string]hostReport{}, admitted: map[string]float64{}} }
+// NewAggregator returns an empty aggregator.
+func NewAggregator() *Aggregator {
+	return &Aggregator{hosts: map[string]hostReport{}, admitted: map[string]float64{}}
+}
 
-// Take adds the report of a host, which includes those of the hosts behind it. Its rates count for
+// Add adds the report of a host, which includes those of the hosts behind it. Its rates count for
 // the duration ttl, at most ControllerTTL.
-func (s *Sums) Take(now time.Time, host string, uses []fleet.AccountUse, ttl time.Duration) {
+func (s *Aggregator) Add(now time.Time, host string, uses []fleet.AccountUse, ttl time.Duration) {
 	s.hosts[host] = hostReport{at: now, ttl: ttl, uses: uses}
-	s.AddLet(uses)
+	s.AddAdmitted(uses)
 }
 
-// AddLet adds the admitted amounts of a report, for example of one that could not be sent.
-func (s *Sums) AddLet(uses []fleet.AccountUse) {
+// AddAdmitted adds the admitted amounts of a report, for example of one that could not be sent.
+func (s *Aggregator) AddAdmitted(uses []fleet.AccountUse) {
 	for _, u := range uses {
 		s.admitted[u.Account] += u.Let
 	}
@@ -77,7 +79,7 @@
 
 // Sum returns the usage of this host and of the hosts whose reports are not older than maxAge,
 // which is at most ControllerTTL. The admitted amounts are returned once.
-func (s *Sums) Sum(now time.Time, own []fleet.AccountUse, maxAge time.Duration) []fleet.AccountUse {
+func (s *Aggregator) Sum(now time.Time, own []fleet.AccountUse, maxAge time.Duration) []fleet.AccountUse {
 	byAccount := map[string]fleet.AccountUse{}
 	add := func(uses []fleet.AccountUse, reachable bool) {
 		for _, u := range uses {
@@ -101,7 +103,7 @@
 			add(h.uses, age <= RelayTTL)
 		}
 	}
-	s.AddLet(own)
+	s.AddAdmitted(own)
 	for account, admitted := range s.admitted {
 		u := byAccount[account]
 		u.Account, u.Let = account, admitted
--- a/pkg/emulator/placement.go
+++ b/pkg/emulator/placement.go
@@ -11,7 +11,7 @@
 
 // decide reports demand to the policy and starts the swaps that it returns.
 func (sim *simulation) decide() {
-	sim.demand.Take(sim.now, sim.demandReport())
+	sim.demand.AddReport(sim.now, sim.demandReport())
 	snap := residency.Snapshot{
 		Now:    sim.now,
 		Models: sim.demand.Models(sim.now, sim.service()),
--- a/pkg/fleet/messages.go
+++ b/pkg/fleet/messages.go
@@ -147,8 +147,8 @@
 	// Seq numbers the reports of an incarnation; a report older than the last one received is
 	// ignored.
 	Seq int64 `cbor:"7,keyasint,omitempty"`
-	// Same means that the needs of the previous report still apply; Needs is then empty.
-	Same bool `cbor:"8,keyasint,omitempty"`
+	// Unchanged means that the needs of the previous report still apply; Needs is then empty.
+	Unchanged bool `cbor:"8,keyasint,omitempty"`
 }
 
 // Waiting returns the models with waiting requests.
@@ -181,8 +181,8 @@
 	Starting int64 `cbor:"10,keyasint,omitempty"`
 }
 
-// Plus returns the sum of two reports of the same need.
-func (n NeedReport) Plus(o NeedReport) NeedReport {
+// Add returns the sum of two reports of the same need.
+func (n NeedReport) Add(o NeedReport) NeedReport {
 	if dueBefore(o, n) {
 		n.DueIn = o.DueIn
 	}
--- a/pkg/gateway/allowance.go
+++ b/pkg/gateway/allowance.go
@@ -29,9 +29,9 @@
 	// levelsVersion is incremented each time new account levels are applied.
 	levelsVersion atomic.Int64
 
-	mu     sync.Mutex
-	sums   *allowance.Sums
-	levels *allowance.Levels
+	mu         sync.Mutex
+	aggregator *allowance.Aggregator
+	levels     *allowance.Levels
 	// usageReported is when usage was last reported, levelsDecided when levels were last
 	// decided.
 	usageReported, levelsDecided time.Time
@@ -45,7 +45,7 @@
 }
 
 func newAccounts(t allowance.Tolerance, want func(), now func() time.Time) *accounts {
-	a := &accounts{now: now, requestReport: want, sums: allowance.NewSums(), levels: allowance.NewLevels(t)}
+	a := &accounts{now: now, requestReport: want, aggregator: allowance.NewAggregator(), levels: allowance.NewLevels(t)}
 	a.local = allowance.NewLocal(a.reportRise)
 	return a
 }
@@ -83,7 +83,7 @@
 		a.lastRise = now
 	}
 	a.pendingRise, a.usageReported = false, now
-	return a.sums.Sum(now, a.local.Uses(now), allowance.RelayTTL), rising
+	return a.aggregator.Sum(now, a.local.Uses(now), allowance.RelayTTL), rising
 }
 
 // restoreUsage adds back the usage of a report that the upstream host may not have received. If
@@ -91,7 +91,7 @@
 func (a *accounts) restoreUsage(uses []fleet.AccountUse) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sums.AddLet(uses)
+	a.aggregator.AddAdmitted(uses)
 }
 
 // mergeUsage records the usage reported by another host.
@@ -102,7 +102,7 @@
 	if p.Brief {
 		life = allowance.RelayTTL
 	}
-	a.sums.Take(now, p.Demand.Host, p.Accounts, life)
+	a.aggregator.Add(now, p.Demand.Host, p.Accounts, life)
 }
 
 // applyLevels stores which accounts are near their limits and reports whether that is new.
@@ -126,7 +126,7 @@
 		return false
 	}
 	a.pendingRise, a.levelsDecided = false, now
-	levels := a.levels.Decide(now, token, c.Accounts.All(), a.sums.Sum(now, a.local.Uses(now), allowance.ControllerTTL))
+	levels := a.levels.Decide(now, token, c.Accounts.All(), a.aggregator.Sum(now, a.local.Uses(now), allowance.ControllerTTL))
 	a.mu.Unlock()
 	return a.applyLevels(now, now, levels)
 }
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -62,7 +62,7 @@
 		ch.waiting = old.waiting
 		close(old.superseded)
 	}
-	if !r.Same {
+	if !r.Unchanged {
 		ch.waiting = r.Waiting()
 	}
 	c.byHost[r.Host] = ch
@@ -165,11 +165,11 @@
 }
 
 // recordDemand records a demand report: in the controller if this host is the controller,
-// otherwise in the sums that this host reports upstream.
+// otherwise in the totals that this host reports upstream.
 func (g *Gateway) recordDemand(now time.Time, p fleet.Pull) {
 	held := g.election.Held()
 	if held == 0 {
-		if g.demandSums.Take(now, p.Demand, p.Heard) && g.hasUnplacedDemand(p.Demand) {
+		if g.demandAggregator.Add(now, p.Demand, p.Heard) && g.hasUnplacedDemand(p.Demand) {
 			g.requestReport()
 		}
 		return
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -93,11 +93,11 @@
 	lease      *orders.HolderLease
 	controller *orders.Controller
 	mesh       *mesh
-	// children tracks the hosts that pull from this one, demandSums their demand, and notices
+	// children tracks the hosts that pull from this one, demandAggregator their demand, and notices
 	// the notices received from the upstream host.
-	children   *children
-	demandSums *relay.Sums
-	notices    noticeTracker
+	children         *children
+	demandAggregator *relay.Aggregator
+	notices          noticeTracker
 	// guard blocks requests that crash endpoints. crashCursors tracks which crashes other hosts
 	// have received, storedCrashes what the store holds.
 	guard         *quarantine.Guard
@@ -139,19 +139,19 @@
 func New(cfg Config) (*Gateway, error) {
 	s := cfg.Settings
 	g := &Gateway{
-		settings:    s,
-		codec:       cfg.Codec,
-		metrics:     newMetrics(),
-		directory:   fleet.NewDirectory(),
-		health:      serve.NewHealth(),
-		budget:      retry.NewBudget(s.retryLimits(), retryShare),
-		reportNow:   make(chan struct{}, 1),
-		stepNow:     make(chan struct{}, 1),
-		listReadNow: make(chan struct{}, 1),
-		cache:       newEntryCache(),
-		storeReads:  follow.NewState(),
-		children:    newChildren(),
-		demandSums:  relay.NewSums(),
+		settings:         s,
+		codec:            cfg.Codec,
+		metrics:          newMetrics(),
+		directory:        fleet.NewDirectory(),
+		health:           serve.NewHealth(),
+		budget:           retry.NewBudget(s.retryLimits(), retryShare),
+		reportNow:        make(chan struct{}, 1),
+		stepNow:          make(chan struct{}, 1),
+		listReadNow:      make(chan struct{}, 1),
+		cache:            newEntryCache(),
+		storeReads:       follow.NewState(),
+		children:         newChildren(),
+		demandAggregator: relay.NewAggregator(),
 
 		crashCursors:  newCrashCursors(),
 		storedCrashes: newStoredCrashes(),
--- a/pkg/gateway/pull.go
+++ b/pkg/gateway/pull.go
@@ -102,7 +102,7 @@
 	}
 	p.Source, p.Token, p.Version = g.notices.position()
 	if !g.settings.Orders.EndpointsCheckTokens {
-		p.Below = g.demandSums.Heard(now)
+		p.Below = g.demandAggregator.Heard(now)
 	}
 	crashesNext := g.addCrashesTo(now, to.Addr, &p)
 	p.SignalsChecksum, p.Signals = g.signals.forRequest(now)
@@ -197,10 +197,10 @@
 			Seq:           g.reports.Add(1),
 			ConfigVersion: g.configVersion(),
 			Addr:          g.self.Addr,
-			Same:          true,
+			Unchanged:     true,
 		}
 	}
-	return g.demandSums.Sum(now, g.demandReport(now))
+	return g.demandAggregator.Sum(now, g.demandReport(now))
 }
 
 // upstreams returns the hosts to pull from, best first.
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -125,7 +125,7 @@
 
 // addBlocks adds blocks and reports whether any is new.
 func (g *Gateway) addBlocks(now time.Time, blocks []fleet.Block) bool {
-	added := g.guard.Take(now, blocks)
+	added := g.guard.Merge(now, blocks)
 	for _, b := range added {
 		if b.Suspect {
 			g.log.Info("trial of suspect request", "content", fleet.Hex(b.Request.Content), "round", b.Trial.Round, "stage", b.Trial.Stage.String(), "host", b.Trial.Host)
--- a/pkg/gateway/relay_test.go
+++ b/pkg/gateway/relay_test.go
@@ -19,7 +19,7 @@
 func relayHost() *Gateway {
 	g := listHost(time.Minute)
 	g.self = orders.Holder{Host: "relay", Incarnation: "relay-1"}
-	g.demandSums = relay.NewSums()
+	g.demandAggregator = relay.NewAggregator()
 	g.started = g.Now()
 	g.reportNow = make(chan struct{}, 1)
 	g.accounts = newAccounts(allowance.Tolerance{}, g.requestReport, g.Now)
--- a/pkg/gateway/signals.go
+++ b/pkg/gateway/signals.go
@@ -43,7 +43,7 @@
 // repeated wakeups of all hosts.
 func (g *Gateway) mergeSignals(now time.Time, received []fleet.EndpointSignal) {
 	received = slices.DeleteFunc(received, func(s fleet.EndpointSignal) bool { return g.directory.Gone(s.Endpoint) })
-	changed := g.health.Signals.Take(now, received)
+	changed := g.health.Signals.Merge(now, received)
 	for _, s := range changed {
 		g.logSignal(s, "host")
 		g.applyLeaving(s)
--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -88,7 +88,7 @@
 	if c.demand == nil {
 		c.demand = NewDemand(now)
 	}
-	c.demand.Take(now, r)
+	c.demand.AddReport(now, r)
 	for _, id := range r.Pausing {
 		if t := c.trackers[id]; t != nil {
 			t.reportedBackoff(now)
--- a/pkg/orders/demand.go
+++ b/pkg/orders/demand.go
@@ -75,11 +75,11 @@
 	return &Demand{since: now, hosts: map[string]hostDemand{}, rates: map[demandKey]*movingRate{}}
 }
 
-// Take records a host's report.
-func (d *Demand) Take(now time.Time, report fleet.DemandReport) {
+// AddReport records a host's report.
+func (d *Demand) AddReport(now time.Time, report fleet.DemandReport) {
 	old, known := d.hosts[report.Host]
 	known = known && old.incarnation == report.Incarnation
-	if report.Same {
+	if report.Unchanged {
 		if known {
 			old.seen = now
 			d.hosts[report.Host] = old
--- a/pkg/orders/demand_test.go
+++ b/pkg/orders/demand_test.go
@@ -20,7 +20,7 @@
 	for range 80 {
 		now = now.Add(250 * time.Millisecond)
 		for _, host := range []string{"a", "b"} {
-			d.Take(now, fleet.DemandReport{Host: host, Needs: []fleet.NeedReport{{Service: "llm", Model: "m", Arrived: 1, Starting: 125}}})
+			d.AddReport(now, fleet.DemandReport{Host: host, Needs: []fleet.NeedReport{{Service: "llm", Model: "m", Arrived: 1, Starting: 125}}})
 		}
 	}
 	models := d.Models(now, service)
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Take merges blocks and trials received from other hosts and returns those that are new.
-func (g *Guard) Take(now time.Time, blocks []fleet.Block) []fleet.Block {
+// Merge merges blocks and trials received from other hosts and returns those that are new.
+func (g *Guard) Merge(now time.Time, blocks []fleet.Block) []fleet.Block {
 	added := g.Blocklist.Add(now, blocks)
 	for _, b := range added {
 		if b.Suspect {
@@ -133,7 +133,7 @@
 		b.Trial = t.nextRound()
 	}
 	b.Trial.LastCrashAgo = now.Sub(v.LastCrash).Milliseconds()
-	if len(g.Take(now, []fleet.Block{b})) == 0 {
+	if len(g.Merge(now, []fleet.Block{b})) == 0 {
 		return false
 	}
 	g.log("request is suspect and on trial: endpoints crashed while running it", v)
--- a/pkg/quarantine/trial_test.go
+++ b/pkg/quarantine/trial_test.go
@@ -44,7 +44,7 @@
 	for _, g := range hosts {
 		g.UpdateTrials(now)
 		for _, other := range hosts {
-			other.Take(now, g.Blocklist.All(now))
+			other.Merge(now, g.Blocklist.All(now))
 		}
 	}
 	time.Sleep(20 * time.Millisecond)
@@ -180,7 +180,7 @@
 		addCrash(g, "e", harmful, 3)
 		time.Sleep(time.Second)
 		exchange(g)
-		g.Take(time.Now(), []fleet.Block{{
+		g.Merge(time.Now(), []fleet.Block{{
 			Request: fleet.BlockedRequest{Content: harmful}, Since: time.Now().Unix(), Suspect: true,
 			Trial: fleet.Trial{Stage: fleet.TrialGranted, Host: "lost"},
 		}})
--- a/pkg/relay/sums.go
+++ b/pkg/relay/aggregator.go
@@ -23,11 +23,11 @@
 
 func needKeyOf(n fleet.NeedReport) needKey { return needKey{n.Service, n.Model, n.Adapter} }
 
-// Sums aggregates the demand reports of the hosts behind a relay. Arrivals are counted as they are
+// Aggregator aggregates the demand reports of the hosts behind a relay. Arrivals are counted as they are
 // reported and passed on once. Numbers of waiting and running requests are those of each host's
 // newest report; late and duplicate reports are ignored, and the last report to a relay that a host
 // has left expires after childLife. It is safe for concurrent use.
-type Sums struct {
+type Aggregator struct {
 	mu       sync.Mutex
 	children map[string]*child
 	// arrivals holds the arrivals and starts reported since the last sum.
@@ -45,27 +45,27 @@
 	heard                   []fleet.Heard
 }
 
-// NewSums returns empty sums.
-func NewSums() *Sums {
-	return &Sums{children: map[string]*child{}, arrivals: map[needKey]fleet.NeedReport{}}
+// NewAggregator returns an empty aggregator.
+func NewAggregator() *Aggregator {
+	return &Aggregator{children: map[string]*child{}, arrivals: map[needKey]fleet.NeedReport{}}
 }
 
-// Take applies a host's report and reports whether it is newer than the last one.
-func (s *Sums) Take(now time.Time, r fleet.DemandReport, h fleet.Heard) bool {
+// Add applies a host's report and reports whether it is newer than the last one.
+func (s *Aggregator) Add(now time.Time, r fleet.DemandReport, h fleet.Heard) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.children[r.Host]
 	if c != nil && c.incarnation == r.Incarnation && r.Seq <= c.seq {
 		return false
 	}
-	if r.Same {
+	if r.Unchanged {
 		return c.confirm(now, r)
 	}
 	for _, n := range r.Needs {
 		if n.Arrived > 0 || n.Starting > 0 {
 			arrived := fleet.NeedReport{Priority: n.Priority, Arrived: n.Arrived, Starting: n.Starting}
 			if sum, ok := s.arrivals[needKeyOf(n)]; ok {
-				arrived = arrived.Plus(sum)
+				arrived = arrived.Add(sum)
 			}
 			s.arrivals[needKeyOf(n)] = arrived
 		}
@@ -96,7 +96,7 @@
 
 // Sum returns this host's own report combined with those of the hosts behind it, and resets the
 // counts of arrivals.
-func (s *Sums) Sum(now time.Time, own fleet.DemandReport) fleet.DemandReport {
+func (s *Aggregator) Sum(now time.Time, own fleet.DemandReport) fleet.DemandReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(now)
@@ -107,7 +107,7 @@
 	add := func(n fleet.NeedReport, age time.Duration) {
 		n.DueIn -= age.Milliseconds()
 		if sum := byNeed[needKeyOf(n)]; sum != nil {
-			*sum = sum.Plus(n)
+			*sum = sum.Add(n)
 			return
 		}
 		byNeed[needKeyOf(n)] = &n
@@ -147,7 +147,7 @@
 }
 
 // Heard returns what each host behind this one has received from the controller.
-func (s *Sums) Heard(now time.Time) []fleet.Heard {
+func (s *Aggregator) Heard(now time.Time) []fleet.Heard {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(now)
@@ -158,7 +158,7 @@
 	return out
 }
 
-func (s *Sums) expire(now time.Time) {
+func (s *Aggregator) expire(now time.Time) {
 	for host, c := range s.children {
 		if now.Sub(c.confirmedAt) > childLife {
 			c.needs, c.unreachable, c.pausing, c.heard = nil, nil, nil, nil
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -86,10 +86,10 @@
 
 // Reports arrive late, more than once and out of order, and hosts move to another relay. Each
 // arrival must be counted once, and late reports must not restore waiting requests.
-func TestSumsCountArrivalsOnce(t *testing.T) {
+func TestAggregatorCountsArrivalsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		relays := []*relay.Sums{relay.NewSums(), relay.NewSums()}
+		relays := []*relay.Aggregator{relay.NewAggregator(), relay.NewAggregator()}
 		reported, counted := 0, 0
 		var seq [3]int64
 		var sent [2][]fleet.DemandReport
@@ -110,10 +110,10 @@
 				}
 				sent[at] = append(sent[at], r)
 				sentAt[at] = now
-				relays[at].Take(now, r, fleet.Heard{})
+				relays[at].Add(now, r, fleet.Heard{})
 			case 1: // deliver a duplicate of the last report while it may still arrive
 				if len(sent[at]) > 0 && now.Sub(sentAt[at]) < time.Second {
-					relays[at].Take(now, sent[at][len(sent[at])-1], fleet.Heard{})
+					relays[at].Add(now, sent[at][len(sent[at])-1], fleet.Heard{})
 				}
 			case 2:
 				counted += arrivals(relays[at].Sum(now, fleet.DemandReport{}))
@@ -156,12 +156,12 @@
 func TestSumOfTwoHosts(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	s := relay.NewSums()
+	s := relay.NewAggregator()
 	need := func(waiting, inTime int, due int64) []fleet.NeedReport {
 		return []fleet.NeedReport{{Service: "s", Model: "m", Waiting: waiting, InTime: inTime, DueIn: due, Arrived: waiting}}
 	}
-	s.Take(now, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(2, 0, 100), Unreachable: []fleet.EndpointID{"e"}, Pausing: []fleet.EndpointID{"f"}}, fleet.Heard{Host: "a"})
-	s.Take(now, fleet.DemandReport{Host: "b", Seq: 1, Needs: need(1, 1, 900)}, fleet.Heard{Host: "b"})
+	s.Add(now, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(2, 0, 100), Unreachable: []fleet.EndpointID{"e"}, Pausing: []fleet.EndpointID{"f"}}, fleet.Heard{Host: "a"})
+	s.Add(now, fleet.DemandReport{Host: "b", Seq: 1, Needs: need(1, 1, 900)}, fleet.Heard{Host: "b"})
 	at := now.Add(100 * time.Millisecond)
 	sum := s.Sum(at, fleet.DemandReport{Host: "r", Needs: need(1, 0, 50)})
 	is.Equal(sum.Host, "r")
@@ -171,7 +171,7 @@
 	is.Equal(len(s.Heard(at)), 2)
 	is.Equal(arrivals(s.Sum(at, fleet.DemandReport{})), 0) // arrivals are passed on once
 	is.Equal(waiting(s.Sum(at, fleet.DemandReport{})), 3)  // waiting requests still count
-	is.True(!s.Take(at, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(9, 9, 0)}, fleet.Heard{}))
+	is.True(!s.Add(at, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(9, 9, 0)}, fleet.Heard{}))
 }
 
 // Urgent changes are answered at once, other changes are spaced by the load of the relay, and
--- a/pkg/signals/table.go
+++ b/pkg/signals/table.go
@@ -132,8 +132,8 @@
 	return x.limited(now) && math.Abs(x.Rate-rate) <= minRateChange*x.Rate && now.Sub(x.learnedAt) < refreshAfter
 }
 
-// Take merges signals from another host and returns those that changed.
-func (t *Table) Take(now time.Time, signals []fleet.EndpointSignal) []fleet.EndpointSignal {
+// Merge merges signals from another host and returns those that changed.
+func (t *Table) Merge(now time.Time, signals []fleet.EndpointSignal) []fleet.EndpointSignal {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var changed []fleet.EndpointSignal
--- a/pkg/signals/table_test.go
+++ b/pkg/signals/table_test.go
@@ -126,13 +126,13 @@
 			case 1:
 				from.Observe(now, endpoint, withoutRate, now, true)
 			default:
-				hosts[rapid.IntRange(0, 2).Draw(t, "to")].Take(now, from.All())
+				hosts[rapid.IntRange(0, 2).Draw(t, "to")].Merge(now, from.All())
 			}
 		}
 		for range 2 {
 			for _, a := range hosts {
 				for _, b := range hosts {
-					a.Take(at(time.Minute), b.All())
+					a.Merge(at(time.Minute), b.All())
 				}
 			}
 		}
@@ -179,9 +179,9 @@
 	l := newHost(0, 3)
 	l.Observe(at(0), endpoint, signals.Answer{Rate: withRate(1).Rate, Leaving: true}, at(0), true)
 	l.Observe(at(2*time.Second), endpoint, withoutRate, at(time.Second), true)
-	is.Equal(len(l.Take(at(3*time.Second), []fleet.EndpointSignal{{Endpoint: endpoint, Version: 1, Limited: true, Rate: 1}})), 0)
+	is.Equal(len(l.Merge(at(3*time.Second), []fleet.EndpointSignal{{Endpoint: endpoint, Version: 1, Limited: true, Rate: 1}})), 0)
 	is.True(!l.InNeed(at(3*time.Second), endpoint))
-	l.Take(at(3*time.Second), []fleet.EndpointSignal{{Endpoint: endpoint, Version: 9, Limited: true, Rate: 2}})
+	l.Merge(at(3*time.Second), []fleet.EndpointSignal{{Endpoint: endpoint, Version: 9, Limited: true, Rate: 2}})
 	is.True(l.InNeed(at(3*time.Second), endpoint))
 	is.Equal(l.Leaving(), []fleet.EndpointID{endpoint})
 }
