--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -37,7 +37,7 @@
 type simulation struct {
 	random   *rand.Rand
 	now      time.Time
-	hosts    []*allowance.Local
+	hosts    []*allowance.Limiter
 	sums     *allowance.Aggregator
 	levels   *allowance.Levels
 	inFlight []message
@@ -60,14 +60,14 @@
 		random:           rand.New(rand.NewPCG(seed, 1)),
 		now:              time.Unix(1000, 0),
 		sums:             allowance.NewAggregator(),
-		levels:           allowance.NewLevels(allowance.Tolerance{Over: over, Slack: slack, Window: window}),
+		levels:           allowance.NewLevels(allowance.Tolerance{Excess: over, Slack: slack, Window: window}),
 		weight:           make([]float64, hosts),
 		partitionedUntil: make([]time.Time, hosts),
 		account:          fleet.Account{Name: "a", Allowance: fleet.Allowance{Unit: fleet.Tokens, Rate: rate, Burst: burst}},
 	}
 	f.risen = make([]bool, hosts)
 	for i := range hosts {
-		l := allowance.NewLocal(func() { f.risen[i] = true })
+		l := allowance.NewLimiter(func() { f.risen[i] = true })
 		l.SetHosts(hosts)
 		f.unsent = append(f.unsent, allowance.NewAggregator())
 		f.hosts = append(f.hosts, l)
@@ -137,20 +137,20 @@
 	for i, h := range f.hosts[1:] {
 		if tick%200 == 0 || tick%40 == 0 && f.risen[i+1] {
 			f.risen[i+1] = false
-			uses := f.unsent[i+1].Sum(f.now, h.Uses(f.now), allowance.RelayTTL)
-			if !f.send(i+1, func() { f.sums.Add(f.now, fmt.Sprint(i), uses, allowance.ControllerTTL) }) {
-				f.unsent[i+1].AddAdmitted(uses)
+			usage := f.unsent[i+1].Sum(f.now, h.Usage(f.now), allowance.RelayTTL)
+			if !f.send(i+1, func() { f.sums.Add(f.now, fmt.Sprint(i), usage, allowance.ControllerTTL) }) {
+				f.unsent[i+1].AddAdmitted(usage)
 			}
 		}
 	}
 	if tick%100 != 0 {
 		return
 	}
-	levels := f.levels.Decide(f.now, 1, map[string]fleet.Account{"a": f.account}, f.sums.Sum(f.now, f.hosts[0].Uses(f.now), allowance.ControllerTTL))
+	levels := f.levels.Decide(f.now, 1, map[string]fleet.Account{"a": f.account}, f.sums.Sum(f.now, f.hosts[0].Usage(f.now), allowance.ControllerTTL))
 	asOf := f.now
-	f.hosts[0].Hear(f.now, asOf, levels)
+	f.hosts[0].ApplyLevels(f.now, asOf, levels)
 	for i, h := range f.hosts[1:] {
-		f.send(i+1, func() { h.Hear(f.now, asOf, levels) })
+		f.send(i+1, func() { h.ApplyLevels(f.now, asOf, levels) })
 	}
 }
 
@@ -215,9 +215,9 @@
 func TestIsolatedHostsCarryDebtOfLargeRequests(t *testing.T) {
 	const hosts, cost = 300, 700.0
 	limited := fleet.Allowance{Unit: fleet.Tokens, Rate: 29_000, Burst: 69_000}
-	var all []*allowance.Local
+	var all []*allowance.Limiter
 	for range hosts {
-		l := allowance.NewLocal(func() {})
+		l := allowance.NewLimiter(func() {})
 		l.SetHosts(hosts)
 		all = append(all, l)
 	}
@@ -319,7 +319,7 @@
 	const tolerated = 110_000
 	for seed := range uint64(3) {
 		f := newSimulation(seed, hosts, callers)
-		f.levels = allowance.NewLevels(allowance.Tolerance{Over: over, Slack: tolerated, Window: window})
+		f.levels = allowance.NewLevels(allowance.Tolerance{Excess: over, Slack: tolerated, Window: window})
 		f.account.Allowance = small
 		f.run(before, 12*time.Second)
 		for i := 1; i < hosts; i++ {
@@ -350,13 +350,13 @@
 			is := is.New(t)
 			s := allowance.NewAggregator()
 			now := time.Unix(1000, 0)
-			s.Add(now, "h", []fleet.AccountUse{{Account: "a", Usual: 100, Served: 100, Let: 10}}, c.ttl)
+			s.Add(now, "h", []fleet.AccountUsage{{Account: "a", RequestedRate: 100, AdmittedRate: 100, Admitted: 10}}, c.ttl)
 			now = now.Add(2 * time.Second)
-			uses := s.Sum(now, nil, allowance.ControllerTTL)
-			is.Equal(len(uses), 1)
-			is.Equal(uses[0].Usual, 0.0) // its last report is too old
-			is.Equal(uses[0].Let, 10.0)  // the admitted amount still counts
-			is.Equal(uses[0].Unheard > 0, c.partitioned)
+			usage := s.Sum(now, nil, allowance.ControllerTTL)
+			is.Equal(len(usage), 1)
+			is.Equal(usage[0].RequestedRate, 0.0) // its last report is too old
+			is.Equal(usage[0].Admitted, 10.0)     // the admitted amount still counts
+			is.Equal(usage[0].UnreportedRate > 0, c.partitioned)
 		})
 	}
 }
@@ -366,8 +366,8 @@
 func TestNewHostIgnoresStaleLevels(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	l := allowance.NewLocal(func() {})
-	is.True(!l.Hear(now, now.Add(-time.Minute), fleet.AccountLevels{}))
+	l := allowance.NewLimiter(func() {})
+	is.True(!l.ApplyLevels(now, now.Add(-time.Minute), fleet.AccountLevels{}))
 	admitted := 0
 	for range 2000 {
 		if ok, _ := l.Allow(now, "a", fleet.Allowance{Rate: 100, Burst: 100}, 1); ok {
@@ -382,7 +382,7 @@
 // bounds.
 func TestRefundAndRetryAfter(t *testing.T) {
 	is := is.New(t)
-	l := allowance.NewLocal(func() {})
+	l := allowance.NewLimiter(func() {})
 	now := time.Unix(1000, 0)
 	a := fleet.Allowance{Rate: 10, Burst: 10}
 	ok := true
--- a/pkg/allowance/levels.go
+++ b/pkg/allowance/levels.go
@@ -53,9 +53,9 @@
 }
 
 type hostReport struct {
-	at   time.Time
-	ttl  time.Duration
-	uses []fleet.AccountUse
+	at    time.Time
+	ttl   time.Duration
+	usage []fleet.AccountUsage
 }
 
 // NewAggregator returns an empty aggregator.
@@ -65,31 +65,31 @@
 
 // Add adds the report of a host, which includes those of the hosts behind it. Its rates count for
 // the duration ttl, at most ControllerTTL.
-func (s *Aggregator) Add(now time.Time, host string, uses []fleet.AccountUse, ttl time.Duration) {
-	s.hosts[host] = hostReport{at: now, ttl: ttl, uses: uses}
-	s.AddAdmitted(uses)
+func (s *Aggregator) Add(now time.Time, host string, usage []fleet.AccountUsage, ttl time.Duration) {
+	s.hosts[host] = hostReport{at: now, ttl: ttl, usage: usage}
+	s.AddAdmitted(usage)
 }
 
 // AddAdmitted adds the admitted amounts of a report, for example of one that could not be sent.
-func (s *Aggregator) AddAdmitted(uses []fleet.AccountUse) {
-	for _, u := range uses {
-		s.admitted[u.Account] += u.Let
+func (s *Aggregator) AddAdmitted(usage []fleet.AccountUsage) {
+	for _, u := range usage {
+		s.admitted[u.Account] += u.Admitted
 	}
 }
 
 // Sum returns the usage of this host and of the hosts whose reports are not older than maxAge,
 // which is at most ControllerTTL. The admitted amounts are returned once.
-func (s *Aggregator) Sum(now time.Time, own []fleet.AccountUse, maxAge time.Duration) []fleet.AccountUse {
-	byAccount := map[string]fleet.AccountUse{}
-	add := func(uses []fleet.AccountUse, reachable bool) {
-		for _, u := range uses {
+func (s *Aggregator) Sum(now time.Time, own []fleet.AccountUsage, maxAge time.Duration) []fleet.AccountUsage {
+	byAccount := map[string]fleet.AccountUsage{}
+	add := func(usage []fleet.AccountUsage, reachable bool) {
+		for _, u := range usage {
 			sum := byAccount[u.Account]
 			sum.Account = u.Account
 			if reachable {
-				sum.Usual += u.Usual
-				sum.Served += u.Served
+				sum.RequestedRate += u.RequestedRate
+				sum.AdmittedRate += u.AdmittedRate
 			} else {
-				sum.Unheard += staleFactor * u.Served
+				sum.UnreportedRate += staleFactor * u.AdmittedRate
 			}
 			byAccount[u.Account] = sum
 		}
@@ -100,13 +100,13 @@
 		case age > h.ttl:
 			delete(s.hosts, host)
 		case age <= maxAge:
-			add(h.uses, age <= RelayTTL)
+			add(h.usage, age <= RelayTTL)
 		}
 	}
 	s.AddAdmitted(own)
 	for account, admitted := range s.admitted {
 		u := byAccount[account]
-		u.Account, u.Let = account, admitted
+		u.Account, u.Admitted = account, admitted
 		byAccount[account] = u
 	}
 	clear(s.admitted)
@@ -126,10 +126,10 @@
 	at   time.Time
 }
 
-// Tolerance is how much all hosts together may exceed an allowance within Window: by the part Over
+// Tolerance is how much all hosts together may exceed an allowance within Window: by the part Excess
 // of it plus Slack units. It covers the delay until hosts learn of each other's usage.
 type Tolerance struct {
-	Over   float64
+	Excess float64
 	Slack  float64
 	Window time.Duration
 }
@@ -137,7 +137,7 @@
 // steadyRate returns the rate that may be admitted permanently, which includes a part of the
 // tolerance.
 func (t Tolerance) steadyRate(a fleet.Allowance) float64 {
-	rate := a.Rate * (1 + steadyTolerance*t.Over)
+	rate := a.Rate * (1 + steadyTolerance*t.Excess)
 	if t.Window > 0 {
 		rate += steadyTolerance * t.Slack / t.Window.Seconds()
 	}
@@ -151,23 +151,23 @@
 
 // Decide returns the levels for the current usage of all hosts, or the last ones if they are still
 // about right. A change of token resets all state.
-func (l *Levels) Decide(now time.Time, token int64, accounts map[string]fleet.Account, uses []fleet.AccountUse) fleet.AccountLevels {
+func (l *Levels) Decide(now time.Time, token int64, accounts map[string]fleet.Account, usage []fleet.AccountUsage) fleet.AccountLevels {
 	if token != l.last.Token {
 		*l = *NewLevels(l.tolerance) // The state of another controller lease is stale.
 		l.last.Token, l.at = token, now
 	}
 	dt := now.Sub(l.at).Seconds()
 	l.at = now
-	usage := make(map[string]fleet.AccountUse, len(uses))
-	for _, u := range uses {
-		usage[u.Account] = u
+	byAccount := make(map[string]fleet.AccountUsage, len(usage))
+	for _, u := range usage {
+		byAccount[u.Account] = u
 	}
 	var near []fleet.AccountLevel
 	for name, a := range accounts {
 		if !a.Allowance.Limited() {
 			continue
 		}
-		if share, ok := l.share(a.Allowance, name, usage[name], dt); ok {
+		if share, ok := l.share(a.Allowance, name, byAccount[name], dt); ok {
 			near = append(near, fleet.AccountLevel{Account: name, Share: share})
 		}
 	}
@@ -183,7 +183,7 @@
 
 // share returns the factor of its usual rate that an account may use, and whether it has to be
 // published.
-func (l *Levels) share(a fleet.Allowance, name string, u fleet.AccountUse, dt float64) (float64, bool) {
+func (l *Levels) share(a fleet.Allowance, name string, u fleet.AccountUsage, dt float64) (float64, bool) {
 	rate := l.tolerance.steadyRate(a)
 	headroom := reachablePart * (a.Burst + l.tolerance.Slack)
 	excess, known := l.excess[name]
@@ -192,7 +192,7 @@
 	}
 	// Estimated usage of partitioned hosts counts in addition to what they report later, so that
 	// the shares of other hosts do not depend on whether they do.
-	excess += u.Let + u.Unheard*dt - rate*dt
+	excess += u.Admitted + u.UnreportedRate*dt - rate*dt
 	excess = min(max(excess, -headroom), maxExcess*rate)
 	l.excess[name] = excess
 	threshold := nearUnused
@@ -200,11 +200,11 @@
 		threshold = farUnused
 	}
 	l.near[name] = excess > -threshold*headroom
-	if !l.near[name] || u.Usual <= 0 {
+	if !l.near[name] || u.RequestedRate <= 0 {
 		return 0, false
 	}
 	budget := max(minPart*rate, rate-excess/compensationTime.Seconds())
-	return max(budget-u.Unheard, minPart*budget) / u.Usual, true
+	return max(budget-u.UnreportedRate, minPart*budget) / u.RequestedRate, true
 }
 
 // aboutEqual reports whether the levels are about equal.
--- a/pkg/allowance/local.go
+++ b/pkg/allowance/limiter.go
@@ -6,7 +6,7 @@
 // hosts report the usage they observe, and the controller publishes which accounts are near their
 // limits (Levels). Of these, each host admits a share in proportion to the usual rate there, less
 // what was admitted in excess before. Of all other accounts it admits some more than the usual
-// rate, enough until the controller learns of a sudden rise (Local).
+// rate, enough until the controller learns of a sudden rise (Limiter).
 package allowance
 
 import (
@@ -67,8 +67,8 @@
 	minRise = 0.03
 )
 
-// Local is the rate limiter of one host for all accounts. It is safe for concurrent use.
-type Local struct {
+// Limiter is the rate limiter of one host for all accounts. It is safe for concurrent use.
+type Limiter struct {
 	mu       sync.Mutex
 	hosts    int
 	accounts map[string]*usage
@@ -100,14 +100,14 @@
 	tokens float64
 }
 
-// NewLocal returns a limiter without accounts. onRise is called when a rate should be reported at
+// NewLimiter returns a limiter without accounts. onRise is called when a rate should be reported at
 // once.
-func NewLocal(onRise func()) *Local {
-	return &Local{hosts: 1, accounts: map[string]*usage{}, onRise: onRise}
+func NewLimiter(onRise func()) *Limiter {
+	return &Limiter{hosts: 1, accounts: map[string]*usage{}, onRise: onRise}
 }
 
 // SetHosts sets the number of hosts for equal shares.
-func (l *Local) SetHosts(n int) {
+func (l *Limiter) SetHosts(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hosts = max(1, n)
@@ -126,7 +126,7 @@
 }
 
 // Allow counts a request and reports whether it is admitted. If not, it returns when to retry.
-func (l *Local) Allow(now time.Time, account string, a fleet.Allowance, cost float64) (ok bool, after time.Duration) {
+func (l *Limiter) Allow(now time.Time, account string, a fleet.Allowance, cost float64) (ok bool, after time.Duration) {
 	if !a.Limited() {
 		return true, 0
 	}
@@ -137,7 +137,7 @@
 	return ok, after
 }
 
-func (l *Local) allow(now time.Time, account string, a fleet.Allowance, cost float64) (ok bool, after time.Duration, rise bool) {
+func (l *Limiter) allow(now time.Time, account string, a fleet.Allowance, cost float64) (ok bool, after time.Duration, rise bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.accounts[account]
@@ -200,7 +200,7 @@
 }
 
 // limit returns what this host may admit of the account now.
-func (l *Local) limit(now time.Time, account string, u *usage) limit {
+func (l *Limiter) limit(now time.Time, account string, u *usage) limit {
 	equal := u.allowance.Rate / float64(l.hosts)
 	age := now.Sub(l.updatedAt)
 	share, near := l.shares[account]
@@ -234,7 +234,7 @@
 }
 
 // Refund returns the cost of a request that was admitted but has not run.
-func (l *Local) Refund(now time.Time, account string, cost float64) {
+func (l *Limiter) Refund(now time.Time, account string, cost float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.accounts[account]
@@ -247,12 +247,12 @@
 	u.admittedRate = max(0, u.admittedRate-cost/slowTimeConstant.Seconds())
 }
 
-// Uses returns the usage of accounts at this host to be reported. Admitted amounts are returned
+// Usage returns the usage of accounts at this host to be reported. Admitted amounts are returned
 // once.
-func (l *Local) Uses(now time.Time) []fleet.AccountUse {
+func (l *Limiter) Usage(now time.Time) []fleet.AccountUsage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []fleet.AccountUse
+	var out []fleet.AccountUsage
 	for account, u := range l.accounts {
 		if now.Sub(u.at) > idleTimeout {
 			delete(l.accounts, account)
@@ -264,22 +264,22 @@
 		if u.usualRate < minReportedPart*u.allowance.Rate && u.admitted <= 0 {
 			continue
 		}
-		out = append(out, fleet.AccountUse{Account: account, Usual: u.usualRate, Served: u.admittedRate, Let: u.admitted})
+		out = append(out, fleet.AccountUsage{Account: account, RequestedRate: u.usualRate, AdmittedRate: u.admittedRate, Admitted: u.admitted})
 		u.admitted = 0
 	}
 	return out
 }
 
-// Told returns the last levels that this host received.
-func (l *Local) Told() fleet.AccountLevels {
+// Levels returns the last levels that this host received.
+func (l *Limiter) Levels() fleet.AccountLevels {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.levels
 }
 
-// Hear applies the levels as of the time asOf, and reports whether they are newer than the known
+// ApplyLevels applies the levels as of the time asOf, and reports whether they are newer than the known
 // ones.
-func (l *Local) Hear(now, asOf time.Time, t fleet.AccountLevels) bool {
+func (l *Limiter) ApplyLevels(now, asOf time.Time, t fleet.AccountLevels) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.levels.NewerThan(t) {
--- a/pkg/fleet/account.go
+++ b/pkg/fleet/account.go
@@ -37,8 +37,8 @@
 	// Rate is the refill rate per second, and Burst is the capacity of the token bucket.
 	Rate  float64
 	Burst float64
-	// Unstated is the cost of a request that does not state its tokens.
-	Unstated float64
+	// DefaultCost is the cost of a request that does not state its tokens.
+	DefaultCost float64
 }
 
 // Limited reports whether the allowance sets a limit.
@@ -51,7 +51,7 @@
 	case a.Unit == Requests:
 		return 1
 	case tokens < 0:
-		return a.Unstated
+		return a.DefaultCost
 	}
 	return tokens
 }
@@ -97,7 +97,7 @@
 
 // valid reports whether the values of an allowance are finite and not negative.
 func valid(a Allowance) bool {
-	for _, v := range []float64{a.Rate, a.Burst, a.Unstated} {
+	for _, v := range []float64{a.Rate, a.Burst, a.DefaultCost} {
 		if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 			return false
 		}
@@ -105,8 +105,8 @@
 	return true
 }
 
-// Of returns the account that owns a key.
-func (a *Accounts) Of(key string) (Account, bool) {
+// ByKey returns the account that owns a key.
+func (a *Accounts) ByKey(key string) (Account, bool) {
 	name, ok := a.byKey[key]
 	return a.byName[name], ok
 }
--- a/pkg/fleet/account_usage.go
+++ b/pkg/fleet/account_usage.go
@@ -1,18 +1,18 @@
 package fleet
 
-// AccountUse is the usage of an account at one host or at several hosts together, in the unit
+// AccountUsage is the usage of an account at one host or at several hosts together, in the unit
 // of the account's allowance.
-type AccountUse struct {
+type AccountUsage struct {
 	Account string `cbor:"1,keyasint"`
-	// Usual is the average rate per second requested over the last seconds, and Served is the
+	// RequestedRate is the average rate per second requested over the last seconds, and AdmittedRate is the
 	// part of it that was admitted.
-	Usual  float64 `cbor:"2,keyasint,omitempty"`
-	Served float64 `cbor:"4,keyasint,omitempty"`
-	// Let is the amount admitted since the last report.
-	Let float64 `cbor:"3,keyasint,omitempty"`
-	// Unheard is the estimated rate per second admitted by hosts whose reports have expired.
+	RequestedRate float64 `cbor:"2,keyasint,omitempty"`
+	AdmittedRate  float64 `cbor:"4,keyasint,omitempty"`
+	// Admitted is the amount admitted since the last report.
+	Admitted float64 `cbor:"3,keyasint,omitempty"`
+	// UnreportedRate is the estimated rate per second admitted by hosts whose reports have expired.
 	// Only the controller sets it.
-	Unheard float64 `cbor:"-"`
+	UnreportedRate float64 `cbor:"-"`
 }
 
 // AccountLevels lists the accounts that are near or above their limits. Each host limits them
--- a/pkg/fleet/config.go
+++ b/pkg/fleet/config.go
@@ -134,7 +134,7 @@
 		return Account{}, true
 	}
 	if len(keys) == 1 {
-		if a, ok := c.Accounts.Of(keys[0]); ok {
+		if a, ok := c.Accounts.ByKey(keys[0]); ok {
 			return a, true
 		}
 	}
--- a/pkg/fleet/messages.go
+++ b/pkg/fleet/messages.go
@@ -86,9 +86,9 @@
 	// it was reported just before. Rising is set if the usage of an account has increased
 	// sharply. Brief is set if the host pulls in place of a relay, which will report the same
 	// usage again.
-	Accounts []AccountUse `cbor:"12,keyasint,omitempty"`
-	Rising   bool         `cbor:"13,keyasint,omitempty"`
-	Brief    bool         `cbor:"14,keyasint,omitempty"`
+	Accounts []AccountUsage `cbor:"12,keyasint,omitempty"`
+	Rising   bool           `cbor:"13,keyasint,omitempty"`
+	Brief    bool           `cbor:"14,keyasint,omitempty"`
 	// SignalsChecksum is the checksum over all endpoint signals known to the requesting host.
 	// Signals holds them if the responding host's last checksum differed.
 	SignalsChecksum uint64           `cbor:"15,keyasint,omitempty"`
--- a/pkg/gateway/allowance.go
+++ b/pkg/gateway/allowance.go
@@ -20,10 +20,10 @@
 )
 
 // accounts enforces the rate limits of client accounts across all hosts. It implements
-// serve.Allowances and is safe for concurrent use.
+// serve.AccountLimiter and is safe for concurrent use.
 type accounts struct {
-	local *allowance.Local
-	now   func() time.Time
+	limiter *allowance.Limiter
+	now     func() time.Time
 	// requestReport triggers a demand report.
 	requestReport func()
 	// levelsVersion is incremented each time new account levels are applied.
@@ -46,17 +46,17 @@
 
 func newAccounts(t allowance.Tolerance, want func(), now func() time.Time) *accounts {
 	a := &accounts{now: now, requestReport: want, aggregator: allowance.NewAggregator(), levels: allowance.NewLevels(t)}
-	a.local = allowance.NewLocal(a.reportRise)
+	a.limiter = allowance.NewLimiter(a.reportRise)
 	return a
 }
 
-// Allow implements serve.Allowances.
+// Allow implements serve.AccountLimiter.
 func (a *accounts) Allow(r *serve.Request) (ok bool, after time.Duration) {
-	return a.local.Allow(a.now(), r.Account, r.Allowance, r.Cost)
+	return a.limiter.Allow(a.now(), r.Account, r.Allowance, r.Cost)
 }
 
-// Refund implements serve.Allowances.
-func (a *accounts) Refund(r *serve.Request) { a.local.Refund(a.now(), r.Account, r.Cost) }
+// Refund implements serve.AccountLimiter.
+func (a *accounts) Refund(r *serve.Request) { a.limiter.Refund(a.now(), r.Account, r.Cost) }
 
 // reportRise triggers an immediate report of a rise in an account's rate.
 func (a *accounts) reportRise() {
@@ -72,7 +72,7 @@
 
 // usageReport returns the usage of this host and its children, and whether it contains a rise.
 // It returns nil if usage was reported less than usageInterval ago.
-func (a *accounts) usageReport(now time.Time) (uses []fleet.AccountUse, rising bool) {
+func (a *accounts) usageReport(now time.Time) (usage []fleet.AccountUsage, rising bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.pendingRise && now.Sub(a.usageReported) < usageInterval {
@@ -83,15 +83,15 @@
 		a.lastRise = now
 	}
 	a.pendingRise, a.usageReported = false, now
-	return a.aggregator.Sum(now, a.local.Uses(now), allowance.RelayTTL), rising
+	return a.aggregator.Sum(now, a.limiter.Usage(now), allowance.RelayTTL), rising
 }
 
 // restoreUsage adds back the usage of a report that the upstream host may not have received. If
 // it was received, that usage is counted twice, which only makes the limit stricter.
-func (a *accounts) restoreUsage(uses []fleet.AccountUse) {
+func (a *accounts) restoreUsage(usage []fleet.AccountUsage) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.aggregator.AddAdmitted(uses)
+	a.aggregator.AddAdmitted(usage)
 }
 
 // mergeUsage records the usage reported by another host.
@@ -107,7 +107,7 @@
 
 // applyLevels stores which accounts are near their limits and reports whether that is new.
 func (a *accounts) applyLevels(now, asOf time.Time, levels fleet.AccountLevels) bool {
-	if !a.local.Hear(now, asOf, levels) {
+	if !a.limiter.ApplyLevels(now, asOf, levels) {
 		return false
 	}
 	a.levelsVersion.Add(1)
@@ -126,7 +126,7 @@
 		return false
 	}
 	a.pendingRise, a.levelsDecided = false, now
-	levels := a.levels.Decide(now, token, c.Accounts.All(), a.aggregator.Sum(now, a.local.Uses(now), allowance.ControllerTTL))
+	levels := a.levels.Decide(now, token, c.Accounts.All(), a.aggregator.Sum(now, a.limiter.Usage(now), allowance.ControllerTTL))
 	a.mu.Unlock()
 	return a.applyLevels(now, now, levels)
 }
@@ -145,7 +145,7 @@
 // updateAccountLevels decides which accounts are near their limits if this host is the
 // controller.
 func (g *Gateway) updateAccountLevels(now time.Time) {
-	g.accounts.local.SetHosts(g.mesh.hosts())
+	g.accounts.limiter.SetHosts(g.mesh.hosts())
 	token, c := g.election.Held(), g.config.Load()
 	if token == 0 || c == nil || c.Accounts == nil {
 		return
@@ -159,7 +159,7 @@
 // logAccountLevels logs each account that has come near its limit or has moved away from it.
 func (g *Gateway) logAccountLevels() {
 	near := map[string]bool{}
-	for _, l := range g.accounts.local.Told().Levels {
+	for _, l := range g.accounts.limiter.Levels().Levels {
 		near[l.Account] = true
 		if !g.accounts.logged[l.Account] {
 			g.log.Info("account is near its allowance; each host enforces its share", "account", l.Account)
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -144,7 +144,7 @@
 	n.Stamp = g.stampFor(now, n.Token)
 	n.BlocksChecksum, n.Blocks = g.blocks.forResponse(now, p.BlocksChecksum)
 	n.SignalsChecksum, n.Signals = g.signals.forResponse(now, p.SignalsChecksum)
-	n.Accounts = g.accounts.local.Told()
+	n.Accounts = g.accounts.limiter.Levels()
 	hosts := g.cache.hostsFrom(p.HostsNext)
 	n.Hosts, n.HostsNext = hosts.Entries, hosts.Next
 	return &n
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -177,7 +177,7 @@
 	g.server.Guard = g.guard
 	g.initReplicatedSets()
 	g.accounts = newAccounts(s.tolerance(), g.requestReport, g.Now)
-	g.server.Allowances = g.accounts
+	g.server.AccountLimiter = g.accounts
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
--- a/pkg/gateway/settings.go
+++ b/pkg/gateway/settings.go
@@ -56,9 +56,9 @@
 		Window time.Duration `yaml:"window"`
 	} `yaml:"retry"`
 	Allowances struct {
-		// All hosts together may admit, for one account, up to the fraction Over and Slack
+		// All hosts together may admit, for one account, up to the fraction Excess and Slack
 		// units more than its allowance in any span of Window. 0 means not configured.
-		Over   float64       `yaml:"over"`
+		Excess float64       `yaml:"over"`
 		Slack  float64       `yaml:"slack"`
 		Window time.Duration `yaml:"window"`
 	} `yaml:"allowances"`
@@ -76,7 +76,7 @@
 }
 
 func (s Settings) tolerance() allowance.Tolerance {
-	return allowance.Tolerance{Over: s.Allowances.Over, Slack: s.Allowances.Slack, Window: s.Allowances.Window}
+	return allowance.Tolerance{Excess: s.Allowances.Excess, Slack: s.Allowances.Slack, Window: s.Allowances.Window}
 }
 
 // LoadSettings reads and validates a settings file. It reports all findings together.
@@ -117,7 +117,7 @@
 	if s.Retry.Ratio < 0 || s.Retry.Extra < 0 {
 		c.add("retry", "ratio and extra must not be negative")
 	}
-	if s.Allowances.Over < 0 || s.Allowances.Slack < 0 || s.Allowances.Window < 0 {
+	if s.Allowances.Excess < 0 || s.Allowances.Slack < 0 || s.Allowances.Window < 0 {
 		c.add("allowances", "over, slack and window must not be negative")
 	}
 	return s, c.found.Err()
--- a/pkg/serve/allowance.go
+++ b/pkg/serve/account_limiter.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Allowances enforces the rate limits of client accounts. Implementations are safe for
+// AccountLimiter enforces the rate limits of client accounts. Implementations are safe for
 // concurrent use and do not block.
-type Allowances interface {
+type AccountLimiter interface {
 	// Allow charges a request to its account. It reports whether the request may run and, if
 	// not, after which time the client may retry.
 	Allow(r *Request) (ok bool, after time.Duration)
@@ -18,10 +18,10 @@
 // chargeAccount charges the request to its account and reports whether it may run. A request
 // over the limit is refused at once.
 func (x *exchange) chargeAccount(ctx context.Context) bool {
-	if x.server.Allowances == nil || x.request.Account == "" {
+	if x.server.AccountLimiter == nil || x.request.Account == "" {
 		return true
 	}
-	ok, after := x.server.Allowances.Allow(x.request)
+	ok, after := x.server.AccountLimiter.Allow(x.request)
 	if !ok {
 		x.finish(ctx, Refusal{Cause: CauseAllowance, NotRun: true, RetryAfter: after})
 	}
@@ -31,7 +31,7 @@
 // refund returns the charge of a request that certainly has not run. A retry by the client is
 // charged again.
 func (x *exchange) refund() {
-	if x.server.Allowances != nil && x.request.Account != "" && x.result.Runs == 0 {
-		x.server.Allowances.Refund(x.request)
+	if x.server.AccountLimiter != nil && x.request.Account != "" && x.result.Runs == 0 {
+		x.server.AccountLimiter.Refund(x.request)
 	}
 }
--- a/pkg/serve/guard_test.go
+++ b/pkg/serve/guard_test.go
@@ -258,7 +258,7 @@
 				}
 				s := newServer(b)
 				m := &countingAllowance{left: 1}
-				s.Allowances = m
+				s.AccountLimiter = m
 				s.Serve(context.Background(), requestOf("a1"), &sink{})
 				is.Equal(m.left, c.left)
 				m.left = 0
--- a/pkg/serve/server.go
+++ b/pkg/serve/server.go
@@ -72,9 +72,9 @@
 	Health  *Health
 	Budget  *retry.Budget
 	Now     func() time.Time
-	// Guard and Allowances may be nil.
-	Guard      Guard
-	Allowances Allowances
+	// Guard and AccountLimiter may be nil.
+	Guard          Guard
+	AccountLimiter AccountLimiter
 	// Tracer creates a span for each wait in the queue and each attempt.
 	Tracer trace.Tracer
 }
