--- a/internal/standin/deployment.go
+++ b/internal/standin/deployment.go
@@ -152,9 +152,9 @@
 	return e, sendJSON(context.Background(), http.MethodPut, e.listURL, e.listed)
 }
 
-// Leave marks the endpoint as leaving in the host list.
-func (e *RunningEndpoint) Leave() error {
-	e.listed.Leaving = true
+// MarkDraining marks the endpoint as draining in the host list.
+func (e *RunningEndpoint) MarkDraining() error {
+	e.listed.Draining = true
 	return sendJSON(context.Background(), http.MethodPut, e.listURL, e.listed)
 }
 
--- a/internal/standin/site/endpoint.go
+++ b/internal/standin/site/endpoint.go
@@ -91,8 +91,8 @@
 	draining      bool
 	// rate is the rate limit sent in the Server-Limit header. It is optional.
 	rate string
-	// leaving adds the Server-Leaving header to all responses.
-	leaving bool
+	// leavingHeader adds the Server-Leaving header to all responses.
+	leavingHeader bool
 	// arrivals are the arrival times of all requests, including orders and status queries of
 	// hosts.
 	arrivals []time.Time
@@ -130,7 +130,7 @@
 // Close stops the endpoint without deregistering it, like a crash.
 func (e *Endpoint) Close() { _ = e.server.Close() }
 
-// Drain announces in the store that the endpoint is leaving. The endpoint continues to serve.
+// Drain announces in the store that the endpoint is draining. The endpoint continues to serve.
 func (e *Endpoint) Drain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,12 +146,12 @@
 	e.rate = rate
 }
 
-// StateLeaving makes all responses announce that the endpoint is leaving, without updating its
+// StateLeaving makes all responses announce that the endpoint is draining, without updating its
 // entry in the store.
 func (e *Endpoint) StateLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leaving = true
+	e.leavingHeader = true
 }
 
 // Arrivals returns the arrival times of all requests, including orders and status queries of
@@ -170,7 +170,7 @@
 		if e.rate != "" {
 			w.Header().Set("Server-Limit", e.rate)
 		}
-		if e.leaving {
+		if e.leavingHeader {
 			w.Header().Set("Server-Leaving", "1")
 		}
 		e.mu.Unlock()
--- a/pkg/completion/backend.go
+++ b/pkg/completion/backend.go
@@ -71,10 +71,10 @@
 // classifyError maps an error of external.Engine to an answer or to the errors
 // of package serve, depending on whether the call may have run.
 func classifyError(err error) (*serve.Answer, error) {
-	var pauseErr *external.PauseError
+	var retryAfterErr *external.RetryAfterError
 	switch {
-	case errors.As(err, &pauseErr):
-		return &serve.Answer{Verdict: serve.Full, Signals: signals.Answer{Pause: pauseErr.Pause}, Body: http.NoBody}, nil
+	case errors.As(err, &retryAfterErr):
+		return &serve.Answer{Verdict: serve.Full, Signals: signals.Response{RetryAfter: retryAfterErr.RetryAfter}, Body: http.NoBody}, nil
 	case errors.Is(err, external.ErrNotLoaded):
 		return &serve.Answer{Verdict: serve.NotHeld, Body: http.NoBody}, nil
 	case errors.Is(err, external.ErrRefused):
--- a/pkg/emulator/baseline.go
+++ b/pkg/emulator/baseline.go
@@ -46,7 +46,7 @@
 
 func (b *baselinePolicy) loaded(model string) bool {
 	return slices.ContainsFunc(b.snap.Endpoints, func(e residency.Endpoint) bool {
-		return slices.ContainsFunc(e.Residents, func(r residency.Resident) bool { return r.Model == model && !r.Leaving })
+		return slices.ContainsFunc(e.Residents, func(r residency.Resident) bool { return r.Model == model && !r.Unloading })
 	})
 }
 
@@ -98,7 +98,7 @@
 		if free >= 0 {
 			break
 		}
-		if !r.Ready || r.Leaving || b.snap.Now.Sub(r.Since) < minResidence {
+		if !r.Ready || r.Unloading || b.snap.Now.Sub(r.Since) < minResidence {
 			continue
 		}
 		out = append(out, r.Model)
--- a/pkg/emulator/dispatch.go
+++ b/pkg/emulator/dispatch.go
@@ -55,7 +55,7 @@
 	for _, e := range sim.endpoints {
 		replica := e.loaded[r.model.name]
 		switch {
-		case replica == nil || replica.leaving:
+		case replica == nil || replica.unloading:
 		case !replica.readyAt.After(sim.now):
 			situation.Ready = true
 		case situation.ComingAt.IsZero() || replica.readyAt.Before(situation.ComingAt):
--- a/pkg/emulator/endpoint.go
+++ b/pkg/emulator/endpoint.go
@@ -29,9 +29,9 @@
 }
 
 type loadedModel struct {
-	readyAt time.Time
-	leaving bool
-	running int
+	readyAt   time.Time
+	unloading bool
+	running   int
 }
 
 // swap is a swap in progress: it evicts models and then loads one.
@@ -71,7 +71,7 @@
 // canServe reports whether the endpoint has the model loaded and a free slot.
 func (e *endpoint) canServe(now time.Time, model string, slots int) bool {
 	r := e.loaded[model]
-	return r != nil && !r.leaving && !r.readyAt.After(now) && e.running < slots
+	return r != nil && !r.unloading && !r.readyAt.After(now) && e.running < slots
 }
 
 // advance advances the swap in progress. It returns the model whose load starts
@@ -116,11 +116,11 @@
 	}
 	for name, r := range e.loaded {
 		out.Residents = append(out.Residents, residency.Resident{
-			Model:   name,
-			MB:      sim.models[name].class.WeightsMB,
-			Ready:   !r.readyAt.After(now),
-			Since:   r.readyAt,
-			Leaving: r.leaving,
+			Model:     name,
+			MB:        sim.models[name].class.WeightsMB,
+			Ready:     !r.readyAt.After(now),
+			Since:     r.readyAt,
+			Unloading: r.unloading,
 		})
 	}
 	if e.swap != nil && !e.swap.loading {
--- a/pkg/emulator/placement.go
+++ b/pkg/emulator/placement.go
@@ -48,7 +48,7 @@
 	i := slices.IndexFunc(sim.endpoints, func(e *endpoint) bool { return e.id == s.Endpoint })
 	e := sim.endpoints[i]
 	for _, v := range s.Evict {
-		e.loaded[v].leaving = true
+		e.loaded[v].unloading = true
 	}
 	e.swap = &swap{evict: s.Evict, load: s.Load, stepEnds: sim.now.Add(orderLatency)}
 }
--- a/pkg/entryhost/fake_engine_test.go
+++ b/pkg/entryhost/fake_engine_test.go
@@ -236,7 +236,7 @@
 	if e.rejectPause > 0 {
 		defer a.host.cluster.mu.Unlock()
 		e.rejected++
-		return external.ServiceAnswer{}, &external.PauseError{Pause: e.rejectPause, Cause: external.ErrRejected}
+		return external.ServiceAnswer{}, &external.RetryAfterError{RetryAfter: e.rejectPause, Cause: external.ErrRejected}
 	}
 	e.ran = append(e.ran, c.RequestID)
 	run := len(e.ran)
--- a/pkg/entryhost/guard.go
+++ b/pkg/entryhost/guard.go
@@ -38,7 +38,7 @@
 	g := &guard{host: h, unreported: make(chan []fleet.CrashReport, maxUnreportedCrashes)}
 	g.Guard = quarantine.NewGuard(quarantine.Config{
 		Terminated:        h.endpointTerminated,
-		ShutdownAnnounced: h.leaving,
+		ShutdownAnnounced: h.endpointDraining,
 		OnCrash:           g.enqueue,
 		OnTrialChange:     func() {},
 		Now:               h.now,
@@ -153,15 +153,15 @@
 	return string(id[:i]), record.Incarnation(id[i+len(incarnationSeparator):])
 }
 
-// leaving implements quarantine.Config.ShutdownAnnounced.
-func (h *Host) leaving(id fleet.EndpointID) bool {
+// endpointDraining implements quarantine.Config.ShutdownAnnounced.
+func (h *Host) endpointDraining(id fleet.EndpointID) bool {
 	name, _ := splitIncarnation(id)
 	if e, ok := h.state.Pools.EndpointOf(record.ReplicaID(id)); ok {
 		name = e
 	}
 	h.membersMu.Lock()
 	defer h.membersMu.Unlock()
-	return h.members.Leaving(name)
+	return h.members.Draining(name)
 }
 
 // withIncarnation appends the current incarnation to the ID of a plain service. Replica IDs are
--- a/pkg/entryhost/load_test.go
+++ b/pkg/entryhost/load_test.go
@@ -196,23 +196,23 @@
 	})
 }
 
-// Guards against requests being sent to a leaving endpoint, even if the notice is withdrawn or the
+// Guards against requests being sent to a draining endpoint, even if the notice is withdrawn or the
 // host lists of other hosts lag.
-func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
+func TestDrainingEndpointGetsNoNewRequests(t *testing.T) {
 	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
 		is.Equal(burst(hosts, "m0", 30, time.Second)[0].refusal, nil)
-		leaving := engineWithModel(f, "m0")
+		draining := engineWithModel(f, "m0")
 		// Only h0 has an up-to-date list.
 		f.freezeList("h1", "h2")
-		f.setLeaving(leaving.name, true)
+		f.setDraining(draining.name, true)
 		time.Sleep(time.Second)
-		f.setLeaving(leaving.name, false)
+		f.setDraining(draining.name, false)
 		time.Sleep(time.Second)
 		since := time.Now()
 		for _, c := range burst(hosts, "m0", 30, 3*time.Second) {
 			is.Equal(c.refusal, nil)
 		}
-		for _, started := range leaving.started {
+		for _, started := range draining.started {
 			is.True(started.Before(since))
 		}
 	})
@@ -238,11 +238,11 @@
 	}
 }
 
-func (f *fakeCluster) setLeaving(name string, leaving bool) {
+func (f *fakeCluster) setDraining(name string, draining bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i := slices.IndexFunc(f.hostList, func(l external.ListedHost) bool { return l.Name == name })
-	f.hostList[i].Leaving = leaving
+	f.hostList[i].Draining = draining
 }
 
 // Shutdown implements shutdowner. It waits for the requests in progress.
--- a/pkg/entryhost/loops.go
+++ b/pkg/entryhost/loops.go
@@ -108,22 +108,22 @@
 		return
 	}
 	h.membersMu.Lock()
-	leaves := h.members.Listed(h.now(), hosts)
+	draining := h.members.Listed(h.now(), hosts)
 	h.listed = hosts
 	h.membersMu.Unlock()
-	if len(leaves) > 0 {
-		h.notifyLeaving(ctx, leaves)
+	if len(draining) > 0 {
+		h.notifyDraining(ctx, draining)
 	}
 	h.endGoneSessions(ctx)
 	h.pruneHealth()
 }
 
-// notifyLeaving sends leave notices to the other entry hosts, whose host lists may lag.
-func (h *Host) notifyLeaving(ctx context.Context, leaves []membership.Leave) {
-	h.logger.Info("endpoints are leaving", "endpoints", leaves)
+// notifyDraining sends drain notices to the other entry hosts, whose host lists may lag.
+func (h *Host) notifyDraining(ctx context.Context, draining []membership.DrainingEndpoint) {
+	h.logger.Info("endpoints are draining", "endpoints", draining)
 	for _, addr := range h.peerAddrs() {
 		go func() {
-			_, _ = h.peers.Send(ctx, addr, peer.Request{Leave: &peer.LeaveNotice{Endpoints: leaves}})
+			_, _ = h.peers.Send(ctx, addr, peer.Request{Drain: &peer.DrainNotice{Endpoints: draining}})
 		}()
 	}
 }
--- a/pkg/entryhost/peer_handler.go
+++ b/pkg/entryhost/peer_handler.go
@@ -12,12 +12,12 @@
 // HandleUsage implements peer.Handler.
 func (p peerHandler) HandleUsage(r peer.UsageReport) { p.host.handleUsage(r) }
 
-// HandleLeave implements peer.Handler.
-func (p peerHandler) HandleLeave(l peer.LeaveNotice) {
+// HandleDrain implements peer.Handler.
+func (p peerHandler) HandleDrain(l peer.DrainNotice) {
 	p.host.membersMu.Lock()
 	defer p.host.membersMu.Unlock()
-	for _, leave := range l.Endpoints {
-		p.host.members.MarkLeaving(leave)
+	for _, draining := range l.Endpoints {
+		p.host.members.MarkDraining(draining)
 	}
 }
 
--- a/pkg/entryhost/replicas.go
+++ b/pkg/entryhost/replicas.go
@@ -16,7 +16,7 @@
 // replicas implements shares.Replicas from the replicated state and the platform's host list.
 type replicas struct{ host *Host }
 
-// Targets implements shares.Replicas. Endpoints that are leaving are excluded.
+// Targets implements shares.Replicas. Endpoints that are draining are excluded.
 func (r replicas) Targets(kind contract.Kind, poolName, model string) []state.Target {
 	h := r.host
 	if kind == contract.Service {
@@ -30,7 +30,7 @@
 	defer h.membersMu.Unlock()
 	available := targets[:0]
 	for _, t := range targets {
-		if !h.members.Leaving(t.Endpoint) {
+		if !h.members.Draining(t.Endpoint) {
 			available = append(available, t)
 		}
 	}
--- a/pkg/external/external.go
+++ b/pkg/external/external.go
@@ -31,19 +31,21 @@
 	ErrBroken = errors.New("incomplete or invalid response")
 )
 
-// PauseError is a rejection by an endpoint that asks this host to send no calls
-// for the duration of Pause.
-type PauseError struct {
-	Pause time.Duration
+// RetryAfterError is a rejection by an endpoint that asks this host to send no calls
+// for the duration of RetryAfter.
+type RetryAfterError struct {
+	RetryAfter time.Duration
 	// Cause wraps ErrRejected.
 	Cause error
 }
 
 // Error implements error.
-func (e *PauseError) Error() string { return fmt.Sprintf("%v; requested pause: %v", e.Cause, e.Pause) }
+func (e *RetryAfterError) Error() string {
+	return fmt.Sprintf("%v; requested pause: %v", e.Cause, e.RetryAfter)
+}
 
 // Unwrap implements errors.Wrapper.
-func (e *PauseError) Unwrap() error { return e.Cause }
+func (e *RetryAfterError) Unwrap() error { return e.Cause }
 
 // Entry is one record in the log.
 type Entry struct {
@@ -92,9 +94,9 @@
 	Kind        HostKind           `json:"kind"`
 	Incarnation record.Incarnation `json:"incarnation"`
 	// Addr is an endpoint's base URL or an entry host's peer address.
-	Addr    string `json:"addr"`
-	Zone    string `json:"zone"`
-	Leaving bool   `json:"leaving,omitempty"`
+	Addr     string `json:"addr"`
+	Zone     string `json:"zone"`
+	Draining bool   `json:"leaving,omitempty"`
 	// Pool is set for engines, Service for plain services.
 	Pool    string `json:"pool,omitempty"`
 	Service string `json:"service,omitempty"`
@@ -102,7 +104,7 @@
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
 }
 
-// HostList is the platform's list of live and leaving hosts.
+// HostList is the platform's list of live and draining hosts.
 type HostList interface {
 	List(ctx context.Context) ([]ListedHost, error)
 }
--- a/pkg/external/httpadapter/adapter_test.go
+++ b/pkg/external/httpadapter/adapter_test.go
@@ -210,9 +210,9 @@
 		_, err := httpadapter.NewEngine().Call(context.Background(), server.URL, external.ServiceCall{RequestID: "c"})
 		server.Close()
 		is.True(errors.Is(err, external.ErrRejected))
-		var pauseErr *external.PauseError
-		if errors.As(err, &pauseErr) {
-			is.Equal(pauseErr.Pause, want)
+		var retryAfterErr *external.RetryAfterError
+		if errors.As(err, &retryAfterErr) {
+			is.Equal(retryAfterErr.RetryAfter, want)
 		} else {
 			is.Equal(want, time.Duration(0))
 		}
--- a/pkg/external/httpadapter/client.go
+++ b/pkg/external/httpadapter/client.go
@@ -113,7 +113,7 @@
 	if resp.StatusCode >= 400 && resp.StatusCode < 500 {
 		rejected := errors.Mark(status, external.ErrRejected)
 		if p := requestedPause(resp); p > 0 {
-			return &external.PauseError{Pause: p, Cause: rejected}
+			return &external.RetryAfterError{RetryAfter: p, Cause: rejected}
 		}
 		return rejected
 	}
--- a/pkg/fleet/board.go
+++ b/pkg/fleet/board.go
@@ -43,10 +43,10 @@
 
 // modelState is the state of a model on an endpoint.
 type modelState struct {
-	endpoint Endpoint
-	readyAt  time.Time
-	leaving  bool
-	adapters map[string]bool
+	endpoint  Endpoint
+	readyAt   time.Time
+	unloading bool
+	adapters  map[string]bool
 }
 
 // ModelRef identifies a model of a service.
@@ -129,7 +129,7 @@
 	}
 	for name, r := range a {
 		o, ok := b[name]
-		if !ok || r.leaving != o.leaving || r.readyAt.IsZero() != o.readyAt.IsZero() || !maps.Equal(r.adapters, o.adapters) {
+		if !ok || r.unloading != o.unloading || r.readyAt.IsZero() != o.readyAt.IsZero() || !maps.Equal(r.adapters, o.adapters) {
 			return false
 		}
 		if r.readyAt.Sub(o.readyAt).Abs() > timeTolerance {
@@ -160,7 +160,7 @@
 func modelStates(now time.Time, p Placement) map[string]modelState {
 	models := make(map[string]modelState, len(p.Models))
 	for _, m := range p.Models {
-		r := modelState{leaving: m.Leaving, adapters: map[string]bool{}}
+		r := modelState{unloading: m.Unloading, adapters: map[string]bool{}}
 		if m.ReadyIn > 0 {
 			r.readyAt = now.Add(time.Duration(m.ReadyIn) * time.Millisecond)
 		}
@@ -218,7 +218,7 @@
 	}
 	for _, r := range b.index.holders(ModelRef{service, model}) {
 		switch {
-		case r.leaving || adapter != "" && !r.adapters[adapter]:
+		case r.unloading || adapter != "" && !r.adapters[adapter]:
 		case r.readyAt.After(now):
 			if l.ComingAt.IsZero() || r.readyAt.Before(l.ComingAt) {
 				l.ComingAt = r.readyAt
--- a/pkg/fleet/board_changes.go
+++ b/pkg/fleet/board_changes.go
@@ -77,7 +77,7 @@
 // holdsAny reports whether an endpoint holds or loads one of the wanted models.
 func holdsAny(service string, models map[string]modelState, wanted map[ModelRef]bool) bool {
 	for name, r := range models {
-		if !r.leaving && wanted[ModelRef{service, name}] {
+		if !r.unloading && wanted[ModelRef{service, name}] {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 func newPlacement(now time.Time, id EndpointID, models map[string]modelState) Placement {
 	p := Placement{Endpoint: id}
 	for name, r := range models {
-		m := ModelPlacement{Model: name, Leaving: r.leaving}
+		m := ModelPlacement{Model: name, Unloading: r.unloading}
 		if !r.readyAt.IsZero() {
 			m.ReadyIn = max(0, r.readyAt.Sub(now).Milliseconds())
 		}
--- a/pkg/fleet/board_test.go
+++ b/pkg/fleet/board_test.go
@@ -45,7 +45,7 @@
 		holdsModel := model == ""
 		p, known := r.placements[v.ID]
 		if known && now.Sub(r.heardAt) < controllerTimeout {
-			holdsModel = holdsModel || slices.ContainsFunc(p.Models, func(m fleet.ModelPlacement) bool { return m.Model == model && !m.Leaving })
+			holdsModel = holdsModel || slices.ContainsFunc(p.Models, func(m fleet.ModelPlacement) bool { return m.Model == model && !m.Unloading })
 		} else {
 			holdsModel = holdsModel || slices.ContainsFunc(v.Holds, func(h fleet.Held) bool { return h.Model == model })
 		}
@@ -91,7 +91,7 @@
 				for range rapid.IntRange(0, 2).Draw(t, "placements") {
 					n.Endpoints = append(n.Endpoints, fleet.Placement{
 						Endpoint: id(),
-						Models:   []fleet.ModelPlacement{{Model: model(), Leaving: rapid.Bool().Draw(t, "leaving")}},
+						Models:   []fleet.ModelPlacement{{Model: model(), Unloading: rapid.Bool().Draw(t, "leaving")}},
 					})
 				}
 				b.Notice(now, n)
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -126,7 +126,7 @@
 		return false
 	}
 	if known && previous != id && !d.entries[previous].gone {
-		d.markGone(d.entries[previous])
+		d.markGoneLocked(d.entries[previous])
 	}
 	d.current[name] = id
 	return true
@@ -240,10 +240,10 @@
 		}
 		return
 	}
-	d.markGone(e)
+	d.markGoneLocked(e)
 }
 
-func (d *Directory) markGone(e *entry) {
+func (d *Directory) markGoneLocked(e *entry) {
 	if !e.missing.IsZero() {
 		d.missing--
 		e.missing = time.Time{}
@@ -259,7 +259,7 @@
 	}
 	for _, e := range d.entries {
 		if !e.missing.IsZero() {
-			d.markGone(e)
+			d.markGoneLocked(e)
 		}
 	}
 }
@@ -338,9 +338,9 @@
 	return views
 }
 
-// Leave marks an endpoint as draining after it has announced this in a response. During a
+// MarkDraining marks an endpoint as draining after it has announced this in a response. During a
 // store outage its entry may not show it.
-func (d *Directory) Leave(id EndpointID) {
+func (d *Directory) MarkDraining(id EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e := d.entries[id]; e != nil && !e.Draining {
@@ -349,8 +349,8 @@
 	}
 }
 
-// Announced reports whether an endpoint is draining or was removed from the list.
-func (d *Directory) Announced(id EndpointID) bool {
+// DrainingOrGone reports whether an endpoint is draining or was removed from the list.
+func (d *Directory) DrainingOrGone(id EndpointID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e := d.entries[id]
@@ -396,12 +396,12 @@
 	return len(d.entries)
 }
 
-// Forget marks an endpoint as gone because of what this host has observed itself, such as
+// MarkGone marks an endpoint as gone because of what this host has observed itself, such as
 // another incarnation at its address.
-func (d *Directory) Forget(id EndpointID) {
+func (d *Directory) MarkGone(id EndpointID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e := d.entries[id]; e != nil {
-		d.markGone(e)
+		d.markGoneLocked(e)
 	}
 }
--- a/pkg/fleet/endpoint_signal.go
+++ b/pkg/fleet/endpoint_signal.go
@@ -10,17 +10,17 @@
 	// requests per second over all hosts together.
 	Limited bool    `cbor:"3,keyasint,omitempty"`
 	Rate    float64 `cbor:"4,keyasint,omitempty"`
-	// Leaving endpoints terminate soon. The flag is never cleared.
-	Leaving bool `cbor:"5,keyasint,omitempty"`
+	// Draining endpoints terminate soon. The flag is never cleared.
+	Draining bool `cbor:"5,keyasint,omitempty"`
 }
 
 // Merge combines two signals of the same endpoint.
 func (s EndpointSignal) Merge(o EndpointSignal) EndpointSignal {
-	leaving := s.Leaving || o.Leaving
+	draining := s.Draining || o.Draining
 	if o.newerThan(s) {
 		s = o
 	}
-	s.Leaving = leaving
+	s.Draining = draining
 	return s
 }
 
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -63,9 +63,9 @@
 func TestDrainingEndpointStaysDraining(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
-	leaving := endpoint("a")
-	leaving.Draining = true
-	d.Apply(at(0), 5, leaving)
+	draining := endpoint("a")
+	draining.Draining = true
+	d.Apply(at(0), 5, draining)
 	d.Apply(at(1), 4, endpoint("a"))
 	d.Apply(at(1), 6, endpoint("a"))
 	is.True(d.Live(at(1))[0].Draining)
@@ -139,9 +139,9 @@
 	is.Equal(d.Material(), int64(3))
 	d.Apply(at(1), 4, endpoint("a"))
 	is.Equal(d.Material(), int64(3))
-	leaving := endpoint("a")
-	leaving.Draining = true
-	d.Apply(at(2), 5, leaving)
+	draining := endpoint("a")
+	draining.Draining = true
+	d.Apply(at(2), 5, draining)
 	is.Equal(d.Material(), int64(5))
 	d.Remove(at(3), 6, "a")
 	is.Equal(d.Material(), int64(6))
@@ -203,11 +203,11 @@
 	is.Equal(len(d.MaterialSince(-1)), 2)
 	d.Apply(at(1), 2, endpoint("a"))
 	is.Equal(len(d.MaterialSince(1)), 0) // a heartbeat
-	leaving := endpoint("a")
-	leaving.Draining = true
-	d.Apply(at(2), 3, leaving)
+	draining := endpoint("a")
+	draining.Draining = true
+	d.Apply(at(2), 3, draining)
 	is.Equal(d.MaterialSince(1), []fleet.EndpointID{"a"})
-	d.Apply(at(3), 4, leaving)
+	d.Apply(at(3), 4, draining)
 	is.Equal(d.MaterialSince(2), []fleet.EndpointID{"a"}) // still listed after a heartbeat
 	d.Remove(at(4), 5, "b")
 	is.Equal(d.MaterialSince(4), []fleet.EndpointID{"b"})
--- a/pkg/fleet/messages.go
+++ b/pkg/fleet/messages.go
@@ -126,9 +126,9 @@
 	Model string `cbor:"1,keyasint"`
 	// ReadyIn is the time in milliseconds until the model can serve; 0 if it is ready.
 	ReadyIn int64 `cbor:"2,keyasint,omitempty"`
-	// Leaving models take no new requests.
-	Leaving  bool     `cbor:"3,keyasint,omitempty"`
-	Adapters []string `cbor:"4,keyasint,omitempty"`
+	// Unloading models take no new requests.
+	Unloading bool     `cbor:"3,keyasint,omitempty"`
+	Adapters  []string `cbor:"4,keyasint,omitempty"`
 }
 
 // DemandReport is the demand at one host.
@@ -142,8 +142,8 @@
 	Addr string `cbor:"5,keyasint,omitempty"`
 	// Unreachable lists the endpoints to which the host recently failed to connect.
 	Unreachable []EndpointID `cbor:"6,keyasint,omitempty"`
-	// Pausing lists the endpoints that have asked the host to back off.
-	Pausing []EndpointID `cbor:"9,keyasint,omitempty"`
+	// BackoffRequested lists the endpoints that have asked the host to back off.
+	BackoffRequested []EndpointID `cbor:"9,keyasint,omitempty"`
 	// Seq numbers the reports of an incarnation; a report older than the last one received is
 	// ignored.
 	Seq int64 `cbor:"7,keyasint,omitempty"`
--- a/pkg/gateway/follow.go
+++ b/pkg/gateway/follow.go
@@ -267,9 +267,9 @@
 }
 
 func (g *Gateway) endpointsChanged() {
-	// The entry may be new for an endpoint that has already announced that it is leaving.
-	for _, id := range g.health.Signals.Leaving() {
-		g.directory.Leave(id)
+	// The entry may be new for an endpoint that has already announced that it is draining.
+	for _, id := range g.health.Signals.Draining() {
+		g.directory.MarkDraining(id)
 	}
 	g.board.Changed()
 	g.dispatcher.Kick()
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -192,7 +192,7 @@
 		Endpoints: g.directory.Live,
 		MayOrder:  g.mayOrder,
 
-		InNeed: func(id fleet.EndpointID) bool { return g.health.Signals.InNeed(g.Now(), id) },
+		Throttled: func(id fleet.EndpointID) bool { return g.health.Signals.Throttled(g.Now(), id) },
 
 		LearnedStoreLoads: g.board.StoreLoads,
 	}
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -387,8 +387,8 @@
 	h.done <- nil
 }
 
-// Guards against requests to an endpoint that has announced that it is leaving.
-func TestLeavingEndpointGetsNoRequests(t *testing.T) {
+// Guards against requests to an endpoint that has announced that it is draining.
+func TestDrainingEndpointGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
@@ -397,7 +397,7 @@
 	second := d.startEndpoint(site.EndpointConfig{ID: "p2", Service: "plain", Zone: "zone-a", Slots: 4})
 	h := d.startHost("a")
 	first.Drain()
-	d.waitFor("the leaving endpoint gets no requests", func() bool {
+	d.waitFor("the draining endpoint gets no requests", func() bool {
 		before := len(first.Runs())
 		for range 8 {
 			d.request(h, "/screen/", "")
--- a/pkg/gateway/listconfirm_test.go
+++ b/pkg/gateway/listconfirm_test.go
@@ -42,7 +42,7 @@
 	g.crashCursors = newCrashCursors()
 	g.storedCrashes = newStoredCrashes()
 	g.guard = quarantine.NewGuard(quarantine.Config{
-		ShutdownAnnounced: g.directory.Announced,
+		ShutdownAnnounced: g.directory.DrainingOrGone,
 		OnCrash:           func([]fleet.CrashReport) {},
 		Now:               g.Now,
 		Log:               g.log,
@@ -70,7 +70,7 @@
 // lost, late, duplicated and out of order.
 func TestConfirmedListIsNotOutdated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &listSim{controller: listHost(time.Minute), host: listHost(time.Minute), now: time.Unix(1000, 0), sentOffset: noOffset, leaving: map[string]bool{}}
+		w := &listSim{controller: listHost(time.Minute), host: listHost(time.Minute), now: time.Unix(1000, 0), sentOffset: noOffset, draining: map[string]bool{}}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
@@ -96,9 +96,9 @@
 	next             int64
 	sentOffset       int64
 	notices          []sentNotice
-	// leaving holds the endpoints that have announced that they are leaving.
-	leaving map[string]bool
-	log     []fleet.Entry
+	// draining holds the endpoints that have announced that they are draining.
+	draining map[string]bool
+	log      []fleet.Entry
 	// history holds which endpoints the controller used, and since when.
 	history []usedSince
 }
@@ -113,15 +113,15 @@
 	used []fleet.EndpointID
 }
 
-// change writes an entry: a heartbeat, a leaving announcement or a removal.
+// change writes an entry: a heartbeat, a drain announcement or a removal.
 func (w *listSim) change(t *rapid.T) {
 	e := fleet.Entry{Key: "e" + strconv.Itoa(rapid.IntRange(0, 4).Draw(t, "endpoint")), Offset: w.next}
 	states := []string{"ready", "ready", "leaving", ""}
-	if w.leaving[e.Key] {
-		states = []string{"leaving", ""} // A leaving endpoint never becomes ready again.
+	if w.draining[e.Key] {
+		states = []string{"leaving", ""} // A draining endpoint never becomes ready again.
 	}
 	e.Value = []byte(rapid.SampledFrom(states).Draw(t, "state"))
-	w.leaving[e.Key] = w.leaving[e.Key] || string(e.Value) == "leaving"
+	w.draining[e.Key] = w.draining[e.Key] || string(e.Value) == "leaving"
 	w.next++
 	w.log = append(w.log, e)
 	w.controller.applyEndpoints(fleet.Batch{Entries: []fleet.Entry{e}})
--- a/pkg/gateway/pull.go
+++ b/pkg/gateway/pull.go
@@ -227,13 +227,13 @@
 // demandReport returns the demand of this host's own requests.
 func (g *Gateway) demandReport(now time.Time) fleet.DemandReport {
 	demandReport := fleet.DemandReport{
-		Host:          g.self.Host,
-		Incarnation:   g.self.Incarnation,
-		Seq:           g.reports.Add(1),
-		ConfigVersion: g.configVersion(),
-		Addr:          g.self.Addr,
-		Unreachable:   g.health.AllUnreachable(now),
-		Pausing:       g.health.Signals.Pausing(now),
+		Host:             g.self.Host,
+		Incarnation:      g.self.Incarnation,
+		Seq:              g.reports.Add(1),
+		ConfigVersion:    g.configVersion(),
+		Addr:             g.self.Addr,
+		Unreachable:      g.health.AllUnreachable(now),
+		BackoffRequested: g.health.Signals.BackoffRequested(now),
 	}
 	for _, d := range g.dispatcher.Demand() {
 		n := fleet.NeedReport{
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -27,7 +27,7 @@
 	return quarantine.NewGuard(quarantine.Config{
 		Host:              g.self.Incarnation,
 		Terminated:        g.endpoints.Terminated,
-		ShutdownAnnounced: g.directory.Announced,
+		ShutdownAnnounced: g.directory.DrainingOrGone,
 		OnCrash: func([]fleet.CrashReport) {
 			g.metrics.count("endpoints_crashed", nil)
 			g.requestReport()
--- a/pkg/gateway/relay_test.go
+++ b/pkg/gateway/relay_test.go
@@ -155,7 +155,7 @@
 func TestConfirmedListThroughRelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hops := []*Gateway{listHost(time.Minute), listHost(time.Minute), listHost(time.Minute)}
-		w := &listSim{controller: hops[0], host: hops[2], now: time.Unix(1000, 0), leaving: map[string]bool{}}
+		w := &listSim{controller: hops[0], host: hops[2], now: time.Unix(1000, 0), draining: map[string]bool{}}
 		var sent [2][]sentNotice
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			w.now = w.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond)
--- a/pkg/gateway/serving.go
+++ b/pkg/gateway/serving.go
@@ -74,8 +74,8 @@
 	return fleet.Limits{}
 }
 
-// Leaving reports whether the host is shutting down.
-func (g *Gateway) Leaving() bool { return g.stopping.Load() }
+// ShuttingDown reports whether the host is shutting down.
+func (g *Gateway) ShuttingDown() bool { return g.stopping.Load() }
 
 // Serve serves a request and records its result.
 func (g *Gateway) Serve(ctx context.Context, r *serve.Request, sink serve.Sink) {
--- a/pkg/gateway/settings.go
+++ b/pkg/gateway/settings.go
@@ -43,7 +43,7 @@
 	Timing struct {
 		// Lease is the period within which two hosts must not issue orders alternately.
 		Lease time.Duration `yaml:"lease"`
-		// Drain is the time after an endpoint announces that it is leaving within which it must
+		// Drain is the time after an endpoint announces that it is draining within which it must
 		// stop receiving new requests.
 		Drain time.Duration `yaml:"drain"`
 		// Shutdown is the time from the stop signal until the host is killed.
--- a/pkg/gateway/signals.go
+++ b/pkg/gateway/signals.go
@@ -14,21 +14,21 @@
 // other hosts.
 func (g *Gateway) signalChanged(s fleet.EndpointSignal) {
 	g.logSignal(s, "answer")
-	g.applyLeaving(s)
+	g.applyDraining(s)
 	g.announceSignals()
 }
 
-// applyLeaving marks an endpoint that has announced that it is leaving, so that it gets no new
+// applyDraining marks an endpoint that has announced that it is draining, so that it gets no new
 // requests or models.
-func (g *Gateway) applyLeaving(s fleet.EndpointSignal) {
-	if s.Leaving {
-		g.directory.Leave(s.Endpoint)
+func (g *Gateway) applyDraining(s fleet.EndpointSignal) {
+	if s.Draining {
+		g.directory.MarkDraining(s.Endpoint)
 		g.endpointsChanged()
 	}
 }
 
 func (g *Gateway) logSignal(s fleet.EndpointSignal, from string) {
-	g.log.Info("endpoint signal changed", "endpoint", s.Endpoint, "limited", s.Limited, "rate", s.Rate, "leaving", s.Leaving, "version", s.Version, "from", from)
+	g.log.Info("endpoint signal changed", "endpoint", s.Endpoint, "limited", s.Limited, "rate", s.Rate, "leaving", s.Draining, "version", s.Version, "from", from)
 }
 
 // announceSignals sends endpoint signals to the upstream host and to the children of this host.
@@ -46,7 +46,7 @@
 	changed := g.health.Signals.Merge(now, received)
 	for _, s := range changed {
 		g.logSignal(s, "host")
-		g.applyLeaving(s)
+		g.applyDraining(s)
 	}
 	if len(changed) > 0 {
 		g.announceSignals()
@@ -66,7 +66,7 @@
 // allowCall counts a call. It returns orders.ErrLimited if the endpoint's rate limit, or a
 // pause that it has requested, leaves no room for it.
 func (g *Gateway) allowCall(c callKind, e fleet.Endpoint) error {
-	if !g.health.Signals.Use(g.Now(), e.ID) {
+	if !g.health.Signals.TryAcquire(g.Now(), e.ID) {
 		g.metrics.count("endpoint_calls_limited", map[string]string{"call": string(c)})
 		return orders.ErrLimited
 	}
--- a/pkg/gateway/signals_inner_test.go
+++ b/pkg/gateway/signals_inner_test.go
@@ -21,7 +21,7 @@
 	now := observer.Now()
 	observer.health.Signals.Changed = observer.signalChanged
 	rate := 2.5
-	observer.health.Signals.Observe(now, "e", signals.Answer{Rate: &rate}, now, true)
+	observer.health.Signals.Observe(now, "e", signals.Response{Rate: &rate}, now, true)
 	var request fleet.Pull
 	request.SignalsChecksum, request.Signals = observer.signals.forRequest(now)
 	before := upstream.currentVersions()
@@ -32,7 +32,7 @@
 	other.mergeSignals(now, response.Signals)
 	other.signals.acknowledge(response.SignalsChecksum)
 	for _, g := range []*Gateway{observer, upstream, other} {
-		is.True(g.health.Signals.InNeed(now, "e"))
+		is.True(g.health.Signals.Throttled(now, "e"))
 	}
 	// No signal is sent twice.
 	var again fleet.Notice
@@ -46,15 +46,15 @@
 	is.Equal(len(next.Signals), 0)
 }
 
-// Guards against an entry that is read after the leaving signal making the endpoint usable
+// Guards against an entry that is read after the draining signal making the endpoint usable
 // again.
-func TestLeavingSignalPrecedesEntry(t *testing.T) {
+func TestDrainingSignalPrecedesEntry(t *testing.T) {
 	is := is.New(t)
 	observer, other := relayHost(), relayHost()
 	now := observer.Now()
 	observer.health.Signals.Changed = observer.signalChanged
 	observer.directory.Apply(now, 0, fleet.Endpoint{ID: "e", Service: "s"})
-	observer.health.Signals.Observe(now, "e", signals.Answer{Leaving: true}, now, true)
+	observer.health.Signals.Observe(now, "e", signals.Response{Draining: true}, now, true)
 	is.Equal(len(usableEndpoints(observer, now)), 0)
 	var request fleet.Pull
 	request.SignalsChecksum, request.Signals = observer.signals.forRequest(now)
@@ -117,7 +117,7 @@
 	for _, err := range calls() {
 		is.NoErr(err)
 	}
-	g.health.Signals.Observe(g.Now(), "e", signals.Answer{Pause: time.Minute}, g.Now(), false)
+	g.health.Signals.Observe(g.Now(), "e", signals.Response{RetryAfter: time.Minute}, g.Now(), false)
 	for _, err := range calls() {
 		is.True(errors.Is(err, orders.ErrLimited))
 	}
--- a/pkg/gateway/signals_test.go
+++ b/pkg/gateway/signals_test.go
@@ -59,30 +59,30 @@
 	}
 }
 
-// Guards against requests to an endpoint whose responses announce that it is leaving, while the
+// Guards against requests to an endpoint whose responses announce that it is draining, while the
 // store is unavailable.
-func TestLeavingIsLearnedFromResponses(t *testing.T) {
+func TestDrainingIsLearnedFromResponses(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
 	d.publish(config(1))
-	leaving := d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 50})
+	draining := d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 50})
 	d.startEndpoint(site.EndpointConfig{ID: "p2", Service: "plain", Zone: "zone-a", Slots: 50})
 	h := d.startHost("a")
 	h.storeListener.Set(site.Silent)
-	leaving.StateLeaving()
+	draining.StateLeaving()
 	send := func() { is.Equal(d.request(h, "/screen/", "").status, http.StatusOK) }
-	d.waitFor("a response announces that the endpoint is leaving", func() bool {
+	d.waitFor("a response announces that the endpoint is draining", func() bool {
 		send()
-		return len(leaving.Runs()) > 0
+		return len(draining.Runs()) > 0
 	})
 	const drain = 2 * time.Second // from settingsText
 	<-time.After(drain)
-	before := len(leaving.Runs())
+	before := len(draining.Runs())
 	for range 40 {
 		send()
 	}
-	is.Equal(len(leaving.Runs()), before)
+	is.Equal(len(draining.Runs()), before)
 }
 
 // Guards against requests to an endpoint during a pause that it has requested.
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -16,16 +16,16 @@
 // removed. It tolerates a list that omits a live endpoint for a few polls.
 const LostAfter = 5 * time.Second
 
-// Leave identifies an incarnation of an endpoint that is leaving.
-type Leave struct {
+// DrainingEndpoint identifies an incarnation of an endpoint that is draining.
+type DrainingEndpoint struct {
 	Endpoint    string             `cbor:"1,keyasint"`
 	Incarnation record.Incarnation `cbor:"2,keyasint"`
 }
 
 // Tracker holds the known endpoints. It is not safe for concurrent use.
 type Tracker struct {
-	members map[string]*member
-	leaving map[Leave]bool
+	members  map[string]*member
+	draining map[DrainingEndpoint]bool
 	// hostListedAt is when each entry host was last listed, or when EntryGone was first called
 	// for it.
 	hostListedAt map[string]time.Time
@@ -44,16 +44,16 @@
 
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
-	return &Tracker{members: map[string]*member{}, leaving: map[Leave]bool{}, hostListedAt: map[string]time.Time{}}
+	return &Tracker{members: map[string]*member{}, draining: map[DrainingEndpoint]bool{}, hostListedAt: map[string]time.Time{}}
 }
 
 // Listed applies the platform's list. It returns the incarnations that were not known to be
-// leaving before.
-func (t *Tracker) Listed(now time.Time, list []external.ListedHost) []Leave {
+// draining before.
+func (t *Tracker) Listed(now time.Time, list []external.ListedHost) []DrainingEndpoint {
 	for _, m := range t.members {
 		m.listed = false
 	}
-	var newlyLeaving []Leave
+	var newlyDraining []DrainingEndpoint
 	for _, h := range list {
 		if h.Kind != external.EndpointHost {
 			t.hostListedAt[h.Name] = now
@@ -67,13 +67,13 @@
 		m.host = h
 		m.listed = true
 		m.lastSeen = now
-		leave := Leave{h.Name, h.Incarnation}
-		if h.Leaving && t.MarkLeaving(leave) {
-			newlyLeaving = append(newlyLeaving, leave)
+		draining := DrainingEndpoint{h.Name, h.Incarnation}
+		if h.Draining && t.MarkDraining(draining) {
+			newlyDraining = append(newlyDraining, draining)
 		}
 	}
 	t.evictLost(now)
-	return newlyLeaving
+	return newlyDraining
 }
 
 // EntryGone reports whether an entry host has been unlisted for longer than LostAfter.
@@ -97,14 +97,14 @@
 	}
 }
 
-// MarkLeaving marks an incarnation as leaving and reports whether that is new. The mark is
+// MarkDraining marks an incarnation as draining and reports whether that is new. The mark is
 // never cleared for the same incarnation, so that an older or inconsistent list cannot route
 // new requests to it.
-func (t *Tracker) MarkLeaving(l Leave) bool {
-	if t.leaving[l] {
+func (t *Tracker) MarkDraining(l DrainingEndpoint) bool {
+	if t.draining[l] {
 		return false
 	}
-	t.leaving[l] = true
+	t.draining[l] = true
 	return true
 }
 
@@ -126,25 +126,25 @@
 	maps.DeleteFunc(t.members, func(_ string, m *member) bool {
 		return !m.listed && !m.reachable && now.Sub(m.lastSeen) > LostAfter
 	})
-	maps.DeleteFunc(t.leaving, func(l Leave, _ bool) bool {
+	maps.DeleteFunc(t.draining, func(l DrainingEndpoint, _ bool) bool {
 		m := t.members[l.Endpoint]
 		return m != nil && m.host.Incarnation != l.Incarnation && m.listed && m.status.Incarnation == m.host.Incarnation
 	})
 }
 
-// Leaving reports whether an endpoint must not get new requests.
-func (t *Tracker) Leaving(name string) bool {
+// Draining reports whether an endpoint must not get new requests.
+func (t *Tracker) Draining(name string) bool {
 	m := t.members[name]
-	return m != nil && t.memberLeaving(m)
+	return m != nil && t.memberDraining(m)
 }
 
-// memberLeaving prefers the incarnation that responds to health checks. After a restart the
+// memberDraining prefers the incarnation that responds to health checks. After a restart the
 // list may still show the previous one.
-func (t *Tracker) memberLeaving(m *member) bool {
+func (t *Tracker) memberDraining(m *member) bool {
 	if m.status.Incarnation != "" && m.status.Incarnation != m.host.Incarnation {
-		return t.leaving[Leave{m.host.Name, m.status.Incarnation}]
+		return t.draining[DrainingEndpoint{m.host.Name, m.status.Incarnation}]
 	}
-	return t.leaving[Leave{m.host.Name, m.host.Incarnation}]
+	return t.draining[DrainingEndpoint{m.host.Name, m.host.Incarnation}]
 }
 
 // Targets returns the endpoints to health-check, ordered by name.
@@ -183,7 +183,7 @@
 	var hosts []external.ListedHost
 	for _, endpoint := range slices.Sorted(maps.Keys(t.members)) {
 		m := t.members[endpoint]
-		if m.host.Service == name && m.listed && !t.memberLeaving(m) {
+		if m.host.Service == name && m.listed && !t.memberDraining(m) {
 			hosts = append(hosts, m.host)
 		}
 	}
@@ -203,7 +203,7 @@
 		if m.probedAt.Before(since) {
 			list = append(list, pool.Observation{
 				EndpointSeen: record.EndpointSeen{Endpoint: endpoint},
-				Leaving:      t.memberLeaving(m),
+				Draining:     t.memberDraining(m),
 			})
 			continue
 		}
@@ -216,7 +216,7 @@
 				MemoryMB:      m.status.MemoryMB,
 				ChecksFencing: m.host.ChecksFencing,
 			},
-			Leaving:   t.memberLeaving(m),
+			Draining:  t.memberDraining(m),
 			Reachable: m.reachable,
 		}
 		for _, r := range m.status.Replicas {
--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -61,10 +61,10 @@
 	Endpoints func(now time.Time) []fleet.View
 	// MayOrder is called before each order. Orders are sent only while it returns true.
 	MayOrder func() bool
-	// InNeed reports whether an endpoint states a request rate limit or has asked this host
+	// Throttled reports whether an endpoint states a request rate limit or has asked this host
 	// to back off. Such an endpoint gets no models, and the models it holds do not count as
 	// replicas. It may be nil.
-	InNeed func(id fleet.EndpointID) bool
+	Throttled func(id fleet.EndpointID) bool
 	// LearnedStoreLoads returns the number of concurrent loads that a former controller
 	// found the weight store to run at full speed, or 0 if unknown. It may be nil.
 	LearnedStoreLoads func() int
@@ -89,7 +89,7 @@
 		c.demand = NewDemand(now)
 	}
 	c.demand.AddReport(now, r)
-	for _, id := range r.Pausing {
+	for _, id := range r.BackoffRequested {
 		if t := c.trackers[id]; t != nil {
 			t.reportedBackoff(now)
 		}
@@ -231,7 +231,7 @@
 	t.mu.Lock()
 	id, unavailable := t.endpoint.ID, t.reach.lost || c.Now().Sub(t.backoffReported) < peerReportTTL
 	t.mu.Unlock()
-	return unavailable || c.InNeed != nil && c.InNeed(id)
+	return unavailable || c.Throttled != nil && c.Throttled(id)
 }
 
 // startSwaps starts the swaps that package residency decides on.
--- a/pkg/orders/controller_test.go
+++ b/pkg/orders/controller_test.go
@@ -317,13 +317,13 @@
 // Guards against using an endpoint that states a rate limit or asks hosts to back off: its
 // models must be loaded elsewhere and it must get none.
 func TestModelsOfThrottledEndpointAreLoadedElsewhere(t *testing.T) {
-	for _, pausing := range []bool{false, true} {
+	for _, backoffRequested := range []bool{false, true} {
 		run(t, func(ctx context.Context) {
 			is := is.NewRelaxed(t)
 			both := engines{"e1": newEngine(130, weights, "cold"), "e2": newEngine(130, weights, "x", "y")}
 			c := newController(both["e1"], 1)
 			c.Orderer = both
-			c.InNeed = func(id fleet.EndpointID) bool { return id == "e1" && !pausing }
+			c.Throttled = func(id fleet.EndpointID) bool { return id == "e1" && !backoffRequested }
 			view := c.Endpoints(time.Now())[0]
 			first, second := view, view
 			first.ID, second.ID = "e1", "e2"
@@ -332,8 +332,8 @@
 			c.Endpoints = func(time.Time) []fleet.View { return []fleet.View{first, second} }
 			r := waiting("cold", "")
 			r.Needs[0].Arrived = 0
-			if pausing {
-				r.Pausing = []fleet.EndpointID{"e1"}
+			if backoffRequested {
+				r.BackoffRequested = []fleet.EndpointID{"e1"}
 			}
 			steps(ctx, c, 2*time.Second, r)
 			is.True(slices.Contains(both["e2"].held(), "cold"))
--- a/pkg/orders/endpointtracker.go
+++ b/pkg/orders/endpointtracker.go
@@ -235,12 +235,12 @@
 	}
 	for name, r := range t.models {
 		e.Residents = append(e.Residents, residency.Resident{
-			Model:    name,
-			MB:       engine.Models[name].WeightsMB,
-			Ready:    !now.Before(r.readyAt) && !r.unconfirmed,
-			Since:    r.since,
-			Leaving:  r.unloading,
-			Adapters: len(r.adapters),
+			Model:     name,
+			MB:        engine.Models[name].WeightsMB,
+			Ready:     !now.Before(r.readyAt) && !r.unconfirmed,
+			Since:     r.since,
+			Unloading: r.unloading,
+			Adapters:  len(r.adapters),
 		})
 	}
 	if t.incoming != "" {
@@ -266,7 +266,7 @@
 		return p
 	}
 	for name, r := range t.models {
-		m := fleet.ModelPlacement{Model: name, Leaving: r.unloading}
+		m := fleet.ModelPlacement{Model: name, Unloading: r.unloading}
 		if wait := r.readyAt.Sub(now); wait > 0 || r.unconfirmed {
 			m.ReadyIn = max(1, wait.Milliseconds())
 		}
--- a/pkg/peer/handler.go
+++ b/pkg/peer/handler.go
@@ -16,8 +16,8 @@
 	switch {
 	case r.Usage != nil:
 		h.HandleUsage(*r.Usage)
-	case r.Leave != nil:
-		h.HandleLeave(*r.Leave)
+	case r.Drain != nil:
+		h.HandleDrain(*r.Drain)
 	case r.Tail != nil:
 		r.Tail.Limit = min(r.Tail.Limit, maxTail)
 		return answerTail(h, *r.Tail)
--- a/pkg/peer/message.go
+++ b/pkg/peer/message.go
@@ -27,7 +27,7 @@
 	Usage    *UsageReport `cbor:"2,keyasint,omitempty"`
 	Tail     *TailRequest `cbor:"3,keyasint,omitempty"`
 	Snapshot bool         `cbor:"4,keyasint,omitempty"`
-	Leave    *LeaveNotice `cbor:"5,keyasint,omitempty"`
+	Drain    *DrainNotice `cbor:"5,keyasint,omitempty"`
 	// Pull reports demand towards the controller and requests updates from it.
 	Pull *fleet.Pull `cbor:"9,keyasint,omitempty"`
 	// State requests entries that the other host has read from the platform's store.
@@ -66,9 +66,9 @@
 	Limit int           `cbor:"2,keyasint"`
 }
 
-// LeaveNotice announces that endpoints are leaving.
-type LeaveNotice struct {
-	Endpoints []membership.Leave `cbor:"1,keyasint"`
+// DrainNotice announces that endpoints are draining.
+type DrainNotice struct {
+	Endpoints []membership.DrainingEndpoint `cbor:"1,keyasint"`
 }
 
 // Response is one message of the answer to a request; a snapshot takes several.
@@ -98,7 +98,7 @@
 // Handler handles the requests of other hosts.
 type Handler interface {
 	HandleUsage(r UsageReport)
-	HandleLeave(l LeaveNotice)
+	HandleDrain(l DrainNotice)
 	HandleTail(r TailRequest) ([]external.Entry, error)
 	HandleSnapshot() ([]record.Snapshot, error)
 }
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -18,7 +18,7 @@
 }
 
 func (f fakeHandler) HandleUsage(r UsageReport) { f.usage <- r }
-func (fakeHandler) HandleLeave(LeaveNotice)     {}
+func (fakeHandler) HandleDrain(DrainNotice)     {}
 
 func (fakeHandler) HandleTail(r TailRequest) ([]external.Entry, error) {
 	if r.From < 10 {
--- a/pkg/pool/messages.go
+++ b/pkg/pool/messages.go
@@ -56,8 +56,8 @@
 // itself.
 type Observation struct {
 	record.EndpointSeen
-	// Leaving is set if the endpoint must get no new replicas.
-	Leaving bool
+	// Draining is set if the endpoint must get no new replicas.
+	Draining bool
 	// Reachable is set if the endpoint answered the last probe. Loaded is taken from that
 	// answer.
 	Reachable bool
--- a/pkg/pool/step.go
+++ b/pkg/pool/step.go
@@ -74,7 +74,7 @@
 func (s *step) reconcileReplicas() {
 	for _, id := range slices.Sorted(maps.Keys(s.pool.Replicas)) {
 		r := s.pool.Replicas[id]
-		if r.Phase != state.Retired && s.c.observed[r.Endpoint].Leaving {
+		if r.Phase != state.Retired && s.c.observed[r.Endpoint].Draining {
 			s.addDecision(record.Decision{Retire: &record.Retire{Replica: id}})
 			continue
 		}
@@ -242,7 +242,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.pool.Endpoints)) {
 		o := s.c.observed[name]
-		if s.usable(name) && !o.Leaving && o.Reachable {
+		if s.usable(name) && !o.Draining && o.Reachable {
 			e := s.pool.Endpoints[name]
 			snap.Endpoints = append(snap.Endpoints, placement.Endpoint{
 				Name:   name,
--- a/pkg/relay/aggregator.go
+++ b/pkg/relay/aggregator.go
@@ -41,7 +41,7 @@
 	reportedAt, confirmedAt time.Time
 	needs                   []fleet.NeedReport
 	unreachable             []fleet.EndpointID
-	pausing                 []fleet.EndpointID
+	backoffRequested        []fleet.EndpointID
 	heard                   []fleet.Heard
 }
 
@@ -71,14 +71,14 @@
 		}
 	}
 	s.children[r.Host] = &child{
-		incarnation: r.Incarnation,
-		seq:         r.Seq,
-		reportedAt:  now,
-		confirmedAt: now,
-		needs:       r.Needs,
-		unreachable: r.Unreachable,
-		pausing:     r.Pausing,
-		heard:       []fleet.Heard{h},
+		incarnation:      r.Incarnation,
+		seq:              r.Seq,
+		reportedAt:       now,
+		confirmedAt:      now,
+		needs:            r.Needs,
+		unreachable:      r.Unreachable,
+		backoffRequested: r.BackoffRequested,
+		heard:            []fleet.Heard{h},
 	}
 	return true
 }
@@ -115,14 +115,14 @@
 	for _, n := range own.Needs {
 		add(n, 0)
 	}
-	unreachable, pausing := setOf(own.Unreachable), setOf(own.Pausing)
+	unreachable, backoffRequested := setOf(own.Unreachable), setOf(own.BackoffRequested)
 	for _, c := range s.children {
 		for _, n := range c.needs {
 			n.Arrived, n.Starting = 0, 0
 			add(n, now.Sub(c.reportedAt))
 		}
 		maps.Copy(unreachable, setOf(c.unreachable))
-		maps.Copy(pausing, setOf(c.pausing))
+		maps.Copy(backoffRequested, setOf(c.backoffRequested))
 	}
 	for key, n := range s.arrivals {
 		n.Service, n.Model, n.Adapter = key.service, key.model, key.adapter
@@ -134,7 +134,7 @@
 		own.Needs = append(own.Needs, *n)
 	}
 	own.Unreachable = slices.Sorted(maps.Keys(unreachable))
-	own.Pausing = slices.Sorted(maps.Keys(pausing))
+	own.BackoffRequested = slices.Sorted(maps.Keys(backoffRequested))
 	return own
 }
 
@@ -161,7 +161,7 @@
 func (s *Aggregator) expire(now time.Time) {
 	for host, c := range s.children {
 		if now.Sub(c.confirmedAt) > childLife {
-			c.needs, c.unreachable, c.pausing, c.heard = nil, nil, nil, nil
+			c.needs, c.unreachable, c.backoffRequested, c.heard = nil, nil, nil, nil
 		}
 		if now.Sub(c.confirmedAt) > seqLife {
 			delete(s.children, host)
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -160,14 +160,14 @@
 	need := func(waiting, inTime int, due int64) []fleet.NeedReport {
 		return []fleet.NeedReport{{Service: "s", Model: "m", Waiting: waiting, InTime: inTime, DueIn: due, Arrived: waiting}}
 	}
-	s.Add(now, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(2, 0, 100), Unreachable: []fleet.EndpointID{"e"}, Pausing: []fleet.EndpointID{"f"}}, fleet.Heard{Host: "a"})
+	s.Add(now, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(2, 0, 100), Unreachable: []fleet.EndpointID{"e"}, BackoffRequested: []fleet.EndpointID{"f"}}, fleet.Heard{Host: "a"})
 	s.Add(now, fleet.DemandReport{Host: "b", Seq: 1, Needs: need(1, 1, 900)}, fleet.Heard{Host: "b"})
 	at := now.Add(100 * time.Millisecond)
 	sum := s.Sum(at, fleet.DemandReport{Host: "r", Needs: need(1, 0, 50)})
 	is.Equal(sum.Host, "r")
 	is.Equal(sum.Needs, []fleet.NeedReport{{Service: "s", Model: "m", Waiting: 4, InTime: 1, DueIn: 800, Arrived: 4}})
 	is.Equal(sum.Unreachable, []fleet.EndpointID{"e"})
-	is.Equal(sum.Pausing, []fleet.EndpointID{"f"})
+	is.Equal(sum.BackoffRequested, []fleet.EndpointID{"f"})
 	is.Equal(len(s.Heard(at)), 2)
 	is.Equal(arrivals(s.Sum(at, fleet.DemandReport{})), 0) // arrivals are passed on once
 	is.Equal(waiting(s.Sum(at, fleet.DemandReport{})), 3)  // waiting requests still count
--- a/pkg/residency/residency.go
+++ b/pkg/residency/residency.go
@@ -37,8 +37,8 @@
 	Ready bool
 	// Since is when the model became ready.
 	Since time.Time
-	// Leaving is set while the model is being unloaded.
-	Leaving bool
+	// Unloading is set while the model is being unloaded.
+	Unloading bool
 	// Adapters is the number of adapters that are loaded or loading.
 	Adapters int
 }
@@ -220,7 +220,7 @@
 func (d *decider) countReplicas() {
 	for _, e := range d.endpoints {
 		for _, r := range e.Residents {
-			if r.Leaving {
+			if r.Unloading {
 				continue
 			}
 			d.replicas[r.Model]++
@@ -341,7 +341,7 @@
 func (d *decider) hotModelsAt(e *Endpoint) int {
 	n := 0
 	for _, r := range e.Residents {
-		if m := d.models[r.Model]; m != nil && !r.Leaving && m.Rate >= hotRate {
+		if m := d.models[r.Model]; m != nil && !r.Unloading && m.Rate >= hotRate {
 			n++
 		}
 	}
--- a/pkg/residency/residency_test.go
+++ b/pkg/residency/residency_test.go
@@ -264,7 +264,7 @@
 				for _, v := range s.Evict {
 					evicted = evicted || v == r.Model
 				}
-				if evicted && (!r.Ready || r.Leaving) {
+				if evicted && (!r.Ready || r.Unloading) {
 					t.Fatalf("evicted %s, which is not ready or already unloading", r.Model)
 				}
 				if !evicted {
@@ -301,7 +301,7 @@
 			case 0:
 				e.Copies[m.Name] = residency.OnDisk
 			case 1:
-				r := residency.Resident{Model: m.Name, MB: m.WeightsMB, Ready: rapid.Bool().Draw(t, "ready"), Since: now.Add(-time.Second), Leaving: rapid.Bool().Draw(t, "leaving"), Adapters: rapid.IntRange(0, 3).Draw(t, "adapters")}
+				r := residency.Resident{Model: m.Name, MB: m.WeightsMB, Ready: rapid.Bool().Draw(t, "ready"), Since: now.Add(-time.Second), Unloading: rapid.Bool().Draw(t, "leaving"), Adapters: rapid.IntRange(0, 3).Draw(t, "adapters")}
 				if need := r.MB + float64(r.Adapters); need <= free {
 					free -= need
 					e.Residents = append(e.Residents, r)
--- a/pkg/residency/victims.go
+++ b/pkg/residency/victims.go
@@ -41,7 +41,7 @@
 
 // victim returns the cost of evicting a resident, or false if it must not be evicted.
 func (d *decider) victim(s shortfall, r Resident) (victim, bool) {
-	if !r.Ready || r.Leaving || d.snap.Now.Sub(r.Since) < minResidentTime {
+	if !r.Ready || r.Unloading || d.snap.Now.Sub(r.Since) < minResidentTime {
 		return victim{}, false
 	}
 	m := d.models[r.Model]
--- a/pkg/serve/attempt.go
+++ b/pkg/serve/attempt.go
@@ -85,7 +85,7 @@
 	case Full:
 		s.Health.Full(now, e.ID, name)
 		x.result.Note = "endpoint is full"
-		if p := a.Signals.Pause; p > 0 {
+		if p := a.Signals.RetryAfter; p > 0 {
 			x.result.Note = fmt.Sprintf("endpoint rejects and asks for a pause of %v", p)
 		}
 	case NotHeld:
--- a/pkg/serve/fake_backend_test.go
+++ b/pkg/serve/fake_backend_test.go
@@ -27,7 +27,7 @@
 	// notSent fails before the request is sent, lost fails after it has run.
 	notSent, lost bool
 	// signals is reported with the response.
-	signals signals.Answer
+	signals signals.Response
 	// pause is requested with a response that cannot be forwarded.
 	pause time.Duration
 	// unreachable fails because no connection can be made.
@@ -123,7 +123,7 @@
 		return nil, ctx.Err()
 	}
 	if sc.pause > 0 {
-		return nil, &serve.UnusableError{Signals: signals.Answer{Pause: sc.pause}, Cause: errReset}
+		return nil, &serve.UnusableError{Signals: signals.Response{RetryAfter: sc.pause}, Cause: errReset}
 	}
 	if sc.lost {
 		return nil, errReset
--- a/pkg/serve/rate_limit_test.go
+++ b/pkg/serve/rate_limit_test.go
@@ -22,7 +22,7 @@
 		others := []string{"h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9"}
 		s.Health.Signals.SetHosts("h0", others)
 		zeroRate := 0.0
-		s.Health.Signals.Observe(time.Now(), "a", signals.Answer{Rate: &zeroRate}, time.Now(), true)
+		s.Health.Signals.Observe(time.Now(), "a", signals.Response{Rate: &zeroRate}, time.Now(), true)
 		var out sink
 		got := s.Serve(context.Background(), request("r", fleet.Idempotent, false), &out)
 		is.Equal(got.Outcome(), "refused_endpoint_limit")
@@ -41,7 +41,7 @@
 		rate := 2.0
 		const requests = 100
 		for range requests {
-			b.scripts["a"] = append(b.scripts["a"], script{signals: signals.Answer{Rate: &rate}})
+			b.scripts["a"] = append(b.scripts["a"], script{signals: signals.Response{Rate: &rate}})
 		}
 		for i := range requests {
 			var out sink
@@ -85,7 +85,7 @@
 		is := is.New(t)
 		b := newFakeBackend("a", "b")
 		s := newServer(b)
-		s.Health.Signals.Observe(time.Now(), "b", signals.Answer{Pause: time.Minute}, time.Now(), false)
+		s.Health.Signals.Observe(time.Now(), "b", signals.Response{RetryAfter: time.Minute}, time.Now(), false)
 		r := request("r", fleet.Idempotent, false)
 		is.True(!s.Queue.HasOther(r, "a"))
 		is.True(s.Queue.HasOther(r, "b"))
@@ -99,9 +99,9 @@
 		is := is.New(t)
 		b := newFakeBackend("a")
 		s := newServer(b)
-		b.setScript("a", script{verdict: serve.Elsewhere, signals: signals.Answer{Leaving: true}})
+		b.setScript("a", script{verdict: serve.Elsewhere, signals: signals.Response{Draining: true}})
 		var out sink
 		s.Serve(context.Background(), request("r", fleet.Once, false), &out)
-		is.Equal(len(s.Health.Signals.Leaving()), 0)
+		is.Equal(len(s.Health.Signals.Draining()), 0)
 	})
 }
--- a/pkg/serve/request.go
+++ b/pkg/serve/request.go
@@ -89,7 +89,7 @@
 	// Load is the endpoint's load, or nil if the response does not report it.
 	Load *fleet.Load
 	// Signals holds the rate limit, pause and shutdown notice sent with the response.
-	Signals signals.Answer
+	Signals signals.Response
 	// Body returns io.EOF only at the end of the complete body.
 	Body io.ReadCloser
 	// Head is shared by the protocol handler and the backend.
@@ -128,7 +128,7 @@
 
 // UnusableError is returned for a response that cannot be forwarded. The request may have run.
 type UnusableError struct {
-	Signals signals.Answer
+	Signals signals.Response
 	Cause   error
 }
 
--- a/pkg/serve/select_endpoint.go
+++ b/pkg/serve/select_endpoint.go
@@ -34,7 +34,7 @@
 	if !ok {
 		e, ok = d.choose(suspect, s.serviceTime, key)
 	}
-	if !ok || !d.health.Signals.Use(now, e.ID) {
+	if !ok || !d.health.Signals.TryAcquire(now, e.ID) {
 		return fleet.Endpoint{}, false
 	}
 	d.health.Begin(now, e.ID)
--- a/pkg/shares/queue.go
+++ b/pkg/shares/queue.go
@@ -189,7 +189,7 @@
 func (q *queue) reserve(now time.Time, customer string) *state.Target {
 	targets, candidates := q.candidates(now)
 	i := routing.Pick(candidates, routing.Choice{Zone: q.queues.cfg.Zone, Service: q.serviceTime}, rand.IntN)
-	if i < 0 || !q.queues.cfg.Health.Signals.Use(now, endpointID(targets[i])) {
+	if i < 0 || !q.queues.cfg.Health.Signals.TryAcquire(now, endpointID(targets[i])) {
 		return nil
 	}
 	q.inflight[string(targets[i].Replica)]++
--- a/pkg/signals/table.go
+++ b/pkg/signals/table.go
@@ -1,9 +1,9 @@
-// Package signals keeps what endpoints signal in their answers: how many requests per second they
+// Package signals keeps what endpoints signal in their responses: how many requests per second they
 // accept from all hosts together, that they are shutting down, and that they accept no requests
 // from this host for some time. It does no I/O and has no clock of its own.
 //
 // An overloaded endpoint advertises a rate of up to some tens of requests per second, for all hosts
-// that send to it. A host that receives such an answer notifies the others, and a few hosts, which
+// that send to it. A host that receives such a response notifies the others, and a few hosts, which
 // all hosts choose alike, share the rate. No usage is exchanged between hosts: the small excess
 // that an endpoint tolerates would be used up before a sum is known.
 package signals
@@ -29,23 +29,23 @@
 	minRateChange = 0.05
 )
 
-// Answer holds the signals in one answer of an endpoint.
-type Answer struct {
+// Response holds the signals in one response of an endpoint.
+type Response struct {
 	// Rate is the number of requests per second that the endpoint accepts from all hosts together,
 	// nil if it advertises none.
 	Rate *float64
-	// Leaving is set if the endpoint is shutting down.
-	Leaving bool
-	// Pause is how long the endpoint accepts no requests from this host, 0 for no pause.
-	Pause time.Duration
+	// Draining is set if the endpoint is shutting down.
+	Draining bool
+	// RetryAfter is how long the endpoint accepts no requests from this host, 0 for no pause.
+	RetryAfter time.Duration
 }
 
 // Table holds the signals of all endpoints. It is safe for concurrent use.
 type Table struct {
 	mu         sync.Mutex
 	byEndpoint map[fleet.EndpointID]*state
-	// pausedUntil is when the pause of each endpoint ends.
-	pausedUntil map[fleet.EndpointID]time.Time
+	// backoffUntil is when the pause of each endpoint ends.
+	backoffUntil map[fleet.EndpointID]time.Time
 	// requests counts this host's recent requests to each endpoint.
 	requests map[fleet.EndpointID]*requestCounter
 	self     string
@@ -54,7 +54,7 @@
 	// signals, which hosts compare.
 	version  int64
 	checksum uint64
-	// Changed is called without the lock when an answer to this host has changed a signal that
+	// Changed is called without the lock when a response to this host has changed a signal that
 	// concerns all hosts. It may be nil, and must be set before first use.
 	Changed func(fleet.EndpointSignal)
 }
@@ -75,10 +75,10 @@
 // New returns an empty table for a host that knows no others.
 func New() *Table {
 	return &Table{
-		byEndpoint:  map[fleet.EndpointID]*state{},
-		pausedUntil: map[fleet.EndpointID]time.Time{},
-		requests:    map[fleet.EndpointID]*requestCounter{},
-		hosts:       []string{""},
+		byEndpoint:   map[fleet.EndpointID]*state{},
+		backoffUntil: map[fleet.EndpointID]time.Time{},
+		requests:     map[fleet.EndpointID]*requestCounter{},
+		hosts:        []string{""},
 	}
 }
 
@@ -93,29 +93,29 @@
 	}
 }
 
-// Observe applies the signals in the answer to a request that was sent at the time sent. An answer
+// Observe applies the signals in the response to a request that was sent at the time sent. A response
 // without a rate ends the limit only if the endpoint ran the request (ran) and the request was sent
-// after the rate was learned, since answers may arrive late.
-func (t *Table) Observe(now time.Time, id fleet.EndpointID, a Answer, sent time.Time, ran bool) {
+// after the rate was learned, since responses may arrive late.
+func (t *Table) Observe(now time.Time, id fleet.EndpointID, a Response, sent time.Time, ran bool) {
 	changed, ok := t.observe(now, id, a, sent, ran)
 	if ok && t.Changed != nil {
 		t.Changed(changed)
 	}
 }
 
-func (t *Table) observe(now time.Time, id fleet.EndpointID, a Answer, sent time.Time, ran bool) (fleet.EndpointSignal, bool) {
+func (t *Table) observe(now time.Time, id fleet.EndpointID, a Response, sent time.Time, ran bool) (fleet.EndpointSignal, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	// A later pause does not shorten an earlier one.
-	if until := now.Add(a.Pause); a.Pause > 0 && until.After(t.pausedUntil[id]) {
-		t.pausedUntil[id] = until
+	if until := now.Add(a.RetryAfter); a.RetryAfter > 0 && until.After(t.backoffUntil[id]) {
+		t.backoffUntil[id] = until
 	}
 	next := fleet.EndpointSignal{Endpoint: id}
 	x := t.byEndpoint[id]
 	if x != nil {
 		next = x.EndpointSignal
 	}
-	next.Leaving = next.Leaving || a.Leaving
+	next.Draining = next.Draining || a.Draining
 	switch {
 	case a.Rate != nil && !x.isCurrent(now, *a.Rate):
 		next.Limited, next.Rate = true, *a.Rate
@@ -191,7 +191,7 @@
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, string(x.Endpoint)) // A hash never returns an error.
 	hash := (h.Sum64() + uint64(x.Version)*odd) ^ math.Float64bits(x.Rate)*odd
-	if x.Leaving {
+	if x.Draining {
 		hash = ^hash * odd
 	}
 	return hash
@@ -205,26 +205,26 @@
 	if x := t.byEndpoint[id]; x.limited(now) {
 		until, wait = x.nextAvailable(now)
 	}
-	paused := t.pausedUntil[id]
+	paused := t.backoffUntil[id]
 	if now.Before(paused) && (!wait || !until.IsZero() && until.Before(paused)) {
 		return paused, true
 	}
 	return until, wait
 }
 
-// InNeed reports whether the endpoint advertises a rate or has asked this host for a pause.
-func (t *Table) InNeed(now time.Time, id fleet.EndpointID) bool {
+// Throttled reports whether the endpoint advertises a rate or has asked this host for a pause.
+func (t *Table) Throttled(now time.Time, id fleet.EndpointID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.byEndpoint[id].limited(now) || now.Before(t.pausedUntil[id])
+	return t.byEndpoint[id].limited(now) || now.Before(t.backoffUntil[id])
 }
 
-// Use reports whether a request may be sent to the endpoint now, and counts it if so.
-func (t *Table) Use(now time.Time, id fleet.EndpointID) bool {
+// TryAcquire reports whether a request may be sent to the endpoint now, and counts it if so.
+func (t *Table) TryAcquire(now time.Time, id fleet.EndpointID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x := t.byEndpoint[id]
-	if now.Before(t.pausedUntil[id]) || x.limited(now) && !x.take(now) {
+	if now.Before(t.backoffUntil[id]) || x.limited(now) && !x.take(now) {
 		return false
 	}
 	r := t.requests[id]
@@ -275,25 +275,25 @@
 	return n
 }
 
-// Leaving returns the endpoints that are shutting down.
-func (t *Table) Leaving() []fleet.EndpointID {
+// Draining returns the endpoints that are shutting down.
+func (t *Table) Draining() []fleet.EndpointID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []fleet.EndpointID
 	for id, x := range t.byEndpoint {
-		if x.Leaving {
+		if x.Draining {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Pausing returns the endpoints that have asked this host for a pause.
-func (t *Table) Pausing(now time.Time) []fleet.EndpointID {
+// BackoffRequested returns the endpoints that have asked this host for a pause.
+func (t *Table) BackoffRequested(now time.Time) []fleet.EndpointID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []fleet.EndpointID
-	for id, until := range t.pausedUntil {
+	for id, until := range t.backoffUntil {
 		if now.Before(until) {
 			out = append(out, id)
 		}
@@ -311,7 +311,7 @@
 			delete(t.byEndpoint, id)
 		}
 	}
-	retain(t.pausedUntil, live)
+	retain(t.backoffUntil, live)
 	retain(t.requests, live)
 }
 
--- a/pkg/signals/table_test.go
+++ b/pkg/signals/table_test.go
@@ -36,10 +36,10 @@
 	return l
 }
 
-// withRate returns an answer that advertises a rate; withoutRate is an answer without one.
-func withRate(r float64) signals.Answer { return signals.Answer{Rate: &r} }
+// withRate returns a response that advertises a rate; withoutRate is one without a rate.
+func withRate(r float64) signals.Response { return signals.Response{Rate: &r} }
 
-var withoutRate signals.Answer
+var withoutRate signals.Response
 
 // Many hosts send to an endpoint that advertises a rate. The sum of their small excesses must stay
 // within what the endpoint tolerates.
@@ -59,7 +59,7 @@
 		for d := time.Duration(0); d < span; d += step {
 			for _, l := range all {
 				// If not steady, hosts send only at the end and have accumulated tokens by then.
-				for n := 0; n < maxAtOnce && (steady || d >= span-window) && l.Use(at(d), endpoint); n++ {
+				for n := 0; n < maxAtOnce && (steady || d >= span-window) && l.TryAcquire(at(d), endpoint); n++ {
 					sent = append(sent, d)
 				}
 			}
@@ -85,7 +85,7 @@
 	})
 }
 
-// An answer that was sent before the rate arrives late, or its request was not run. Neither may end
+// A response that was sent before the rate arrives late, or its request was not run. Neither may end
 // the limit.
 func TestOnlyLaterAnswerEndsLimit(t *testing.T) {
 	is := is.New(t)
@@ -93,20 +93,20 @@
 	l.Observe(at(time.Second), endpoint, withRate(1), at(0), true)
 	l.Observe(at(2*time.Second), endpoint, withoutRate, at(500*time.Millisecond), true)
 	l.Observe(at(2*time.Second), endpoint, withoutRate, at(1500*time.Millisecond), false)
-	is.True(l.InNeed(at(2*time.Second), endpoint))
+	is.True(l.Throttled(at(2*time.Second), endpoint))
 	l.Observe(at(2*time.Second), endpoint, withoutRate, at(1500*time.Millisecond), true)
-	is.True(!l.InNeed(at(2*time.Second), endpoint))
+	is.True(!l.Throttled(at(2*time.Second), endpoint))
 }
 
-// No requests are sent to a limited endpoint, so no answer can end the limit. It must expire.
+// No requests are sent to a limited endpoint, so no response can end the limit. It must expire.
 func TestUnobservedLimitExpires(t *testing.T) {
 	is := is.New(t)
 	l := newHost(0, 9)
 	l.Observe(at(0), endpoint, withRate(1), at(0), true)
-	is.True(l.InNeed(at(5*time.Second), endpoint))
+	is.True(l.Throttled(at(5*time.Second), endpoint))
 	l.Observe(at(5*time.Second), endpoint, withRate(1), at(0), true)
-	is.True(l.InNeed(at(12*time.Second), endpoint))
-	is.True(!l.InNeed(at(16*time.Second), endpoint))
+	is.True(l.Throttled(at(12*time.Second), endpoint))
+	is.True(!l.Throttled(at(16*time.Second), endpoint))
 }
 
 // Hosts observe changes at the same time and exchange them in any order. They must converge to the
@@ -120,7 +120,7 @@
 			from := hosts[rapid.IntRange(0, 2).Draw(t, "from")]
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 3:
-				from.Observe(now, endpoint, signals.Answer{Leaving: true}, now, false)
+				from.Observe(now, endpoint, signals.Response{Draining: true}, now, false)
 			case 0:
 				from.Observe(now, endpoint, withRate(rapid.Float64Range(0, 5).Draw(t, "rate")), now, true)
 			case 1:
@@ -148,13 +148,13 @@
 func TestShorterPauseDoesNotReplaceLonger(t *testing.T) {
 	is := is.New(t)
 	l := newHost(0, 9)
-	l.Observe(at(0), endpoint, signals.Answer{Pause: 3 * time.Second}, at(0), false)
-	l.Observe(at(time.Second), endpoint, signals.Answer{Pause: time.Second}, at(0), false)
-	is.True(!l.Use(at(2900*time.Millisecond), endpoint))
+	l.Observe(at(0), endpoint, signals.Response{RetryAfter: 3 * time.Second}, at(0), false)
+	l.Observe(at(time.Second), endpoint, signals.Response{RetryAfter: time.Second}, at(0), false)
+	is.True(!l.TryAcquire(at(2900*time.Millisecond), endpoint))
 	until, wait := l.Next(at(2*time.Second), endpoint)
 	is.True(wait)
 	is.Equal(until, at(3*time.Second))
-	is.True(l.Use(at(3*time.Second), endpoint))
+	is.True(l.TryAcquire(at(3*time.Second), endpoint))
 	is.Equal(l.Checksum(), uint64(0)) // it concerns this host only
 }
 
@@ -162,11 +162,11 @@
 func TestPauseOfLimitedEndpoint(t *testing.T) {
 	is := is.New(t)
 	l := newHost(0, 1)
-	l.Observe(at(0), endpoint, signals.Answer{Rate: withRate(1).Rate, Pause: 4 * time.Second}, at(0), false)
+	l.Observe(at(0), endpoint, signals.Response{Rate: withRate(1).Rate, RetryAfter: 4 * time.Second}, at(0), false)
 	until, wait := l.Next(at(100*time.Millisecond), endpoint)
 	is.True(wait)
 	is.Equal(until, at(4*time.Second))
-	is.True(l.Use(at(4*time.Second), endpoint))
+	is.True(l.TryAcquire(at(4*time.Second), endpoint))
 	until, wait = l.Next(at(4*time.Second), endpoint)
 	is.True(wait)
 	is.Equal(until, at(5*time.Second))
@@ -177,13 +177,13 @@
 func TestStaleSignalsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	l := newHost(0, 3)
-	l.Observe(at(0), endpoint, signals.Answer{Rate: withRate(1).Rate, Leaving: true}, at(0), true)
+	l.Observe(at(0), endpoint, signals.Response{Rate: withRate(1).Rate, Draining: true}, at(0), true)
 	l.Observe(at(2*time.Second), endpoint, withoutRate, at(time.Second), true)
 	is.Equal(len(l.Merge(at(3*time.Second), []fleet.EndpointSignal{{Endpoint: endpoint, Version: 1, Limited: true, Rate: 1}})), 0)
-	is.True(!l.InNeed(at(3*time.Second), endpoint))
+	is.True(!l.Throttled(at(3*time.Second), endpoint))
 	l.Merge(at(3*time.Second), []fleet.EndpointSignal{{Endpoint: endpoint, Version: 9, Limited: true, Rate: 2}})
-	is.True(l.InNeed(at(3*time.Second), endpoint))
-	is.Equal(l.Leaving(), []fleet.EndpointID{endpoint})
+	is.True(l.Throttled(at(3*time.Second), endpoint))
+	is.Equal(l.Draining(), []fleet.EndpointID{endpoint})
 }
 
 // An endpoint advertises a rate of zero. Some requests must still be sent, or hosts would not learn
@@ -194,7 +194,7 @@
 	n := 0
 	for d := time.Duration(0); d < time.Minute; d += time.Second {
 		l.Observe(at(d), endpoint, withRate(0), at(d), false)
-		if l.Use(at(d), endpoint) {
+		if l.TryAcquire(at(d), endpoint) {
 			n++
 		}
 	}
@@ -234,7 +234,7 @@
 					l.Observe(at(d), endpoint, withRate(advertised), at(d), true)
 				}
 			}
-			if all[i].Use(at(d), endpoint) {
+			if all[i].TryAcquire(at(d), endpoint) {
 				sent = append(sent, d)
 				if d > 0 {
 					learned[i] = min(learned[i], d+answer)
