--- a/pkg/entryhost/fake_engine_test.go
+++ b/pkg/entryhost/fake_engine_test.go
@@ -118,18 +118,18 @@
 func (a fakeEngines) Order(ctx context.Context, o pool.Order) (pool.OrderResult, error) {
 	e, err := a.lockEngine(o.Addr)
 	if err != nil {
-		return pool.OrderRefused, err
+		return pool.OrderRejected, err
 	}
 	refused := e.incarnation != o.Incarnation || e.fencing && o.Fence < e.token
 	if refused {
 		a.host.cluster.mu.Unlock()
-		return pool.OrderRefused, external.ErrRejected
+		return pool.OrderRejected, external.ErrRejected
 	}
 	e.token = max(e.token, o.Fence)
 	if o.Kind == pool.OrderUnload {
 		defer a.host.cluster.mu.Unlock()
 		if r := e.replicas[o.Replica]; r != nil && r.Running > 0 {
-			return pool.OrderRefused, external.ErrRejected
+			return pool.OrderRejected, external.ErrRejected
 		}
 		delete(e.replicas, o.Replica)
 		return pool.OrderOK, nil
--- a/pkg/external/httpadapter/adapter_test.go
+++ b/pkg/external/httpadapter/adapter_test.go
@@ -39,14 +39,14 @@
 
 // Guards against an order that takes effect on an engine that restarted at the
 // same address after the order was issued.
-func TestOrderRefusedAfterEndpointRestart(t *testing.T) {
+func TestOrderRejectedAfterEndpointRestart(t *testing.T) {
 	is := is.New(t)
 	old, restarted := newEngine(false), newEngine(false)
 	server := httptest.NewServer(restarted.Handler())
 	defer server.Close()
 	result, err := httpadapter.NewEngine().Order(context.Background(), loadOrder(old, server.URL))
 	is.True(err != nil)
-	is.Equal(result, pool.OrderRefused)
+	is.Equal(result, pool.OrderRejected)
 	is.Equal(restarted.Observed().Loads, 0)
 
 	result, err = httpadapter.NewEngine().Order(context.Background(), loadOrder(restarted, server.URL))
@@ -69,7 +69,7 @@
 	defer server.Close()
 	result, err := httpadapter.NewEngine().Order(context.Background(), loadOrder(engine, server.URL))
 	is.True(err != nil)
-	is.Equal(result, pool.OrderRefused)
+	is.Equal(result, pool.OrderRejected)
 	is.Equal(engine.Observed().Loads, 0)
 }
 
@@ -88,7 +88,7 @@
 	is.NoErr(err)
 	is.Equal(result, pool.OrderOK)
 	result, _ = client.Order(context.Background(), loadOrder(engine, server.URL))
-	is.Equal(result, pool.OrderRefused)
+	is.Equal(result, pool.OrderRejected)
 	is.Equal(engine.Observed().Loads, 0)
 }
 
--- a/pkg/external/httpadapter/order.go
+++ b/pkg/external/httpadapter/order.go
@@ -35,10 +35,10 @@
 	pinned := Engine{newClient(transport)}
 	status, err := pinned.Status(ctx, o.Addr)
 	if err != nil {
-		return pool.OrderRefused, err
+		return pool.OrderRejected, err
 	}
 	if status.Incarnation != o.Incarnation {
-		return pool.OrderRefused, errors.Newf("order for incarnation %s refused: endpoint %s has incarnation %s", o.Incarnation, o.Endpoint, status.Incarnation)
+		return pool.OrderRejected, errors.Newf("order for incarnation %s refused: endpoint %s has incarnation %s", o.Incarnation, o.Endpoint, status.Incarnation)
 	}
 	request := orderRequest{
 		Replica:   o.Replica,
@@ -52,7 +52,7 @@
 	case err == nil:
 		return pool.OrderOK, nil
 	case errors.Is(err, external.ErrRejected):
-		return pool.OrderRefused, err
+		return pool.OrderRejected, err
 	default:
 		return pool.OrderUnknown, err
 	}
--- a/pkg/fleet/board.go
+++ b/pkg/fleet/board.go
@@ -22,10 +22,10 @@
 
 	mu sync.Mutex
 	// controller identifies the sender of the newest notice. Only the identifying fields and
-	// StoreLoads are set.
-	controller Notice
-	heardAt    time.Time
-	placements map[EndpointID]map[string]modelState
+	// StoreLoadLimit are set.
+	controller  Notice
+	heartbeatAt time.Time
+	placements  map[EndpointID]map[string]modelState
 	// version counts the changes of placements and coldReadyAt. versions and coldVersion hold
 	// the version of the last change of each.
 	version     int64
@@ -75,8 +75,8 @@
 	if n.Token > b.controller.Token || n.Full {
 		b.dropUnnamed(n)
 	}
-	b.controller = Notice{Holder: n.Holder, Token: n.Token, Incarnation: n.Incarnation, Addr: n.Addr, StoreLoads: n.StoreLoads}
-	b.heardAt = now.Add(-time.Duration(n.HeardAgo) * time.Millisecond)
+	b.controller = Notice{Holder: n.Holder, Token: n.Token, Incarnation: n.Incarnation, Addr: n.Addr, StoreLoadLimit: n.StoreLoadLimit}
+	b.heartbeatAt = now.Add(-time.Duration(n.HeartbeatAge) * time.Millisecond)
 	for _, p := range n.Endpoints {
 		b.setPlacement(p.Endpoint, modelStates(now, p))
 	}
@@ -172,12 +172,12 @@
 	return models
 }
 
-// StoreLoads returns how many loads from the weight store can run at full speed, as last
+// StoreLoadLimit returns how many loads from the weight store can run at full speed, as last
 // reported by the controller; 0 if unknown.
-func (b *Board) StoreLoads() int {
+func (b *Board) StoreLoadLimit() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.controller.StoreLoads
+	return b.controller.StoreLoadLimit
 }
 
 // Token returns the fencing token of the newest claim seen in a notice.
@@ -213,7 +213,7 @@
 		l.Ready = b.index.endpoints(service)
 		return l
 	}
-	if now.Sub(b.heardAt) < controllerTimeout {
+	if now.Sub(b.heartbeatAt) < controllerTimeout {
 		l.FarUntil = b.coldReadyAt[ModelRef{service, model}]
 	}
 	for _, r := range b.index.holders(ModelRef{service, model}) {
@@ -235,7 +235,7 @@
 func (b *Board) refresh(now time.Time) {
 	b.stale = false
 	b.indexedAt = now
-	if trusted := now.Sub(b.heardAt) < controllerTimeout; trusted != b.index.useNotices {
+	if trusted := now.Sub(b.heartbeatAt) < controllerTimeout; trusted != b.index.useNotices {
 		b.index.useNotices = trusted
 		b.index.markAllDirty()
 	}
--- a/pkg/fleet/board_changes.go
+++ b/pkg/fleet/board_changes.go
@@ -13,7 +13,7 @@
 	n.Version = b.version
 	since := b.knownVersion(source, p)
 	n.Full = since == 0
-	n.HeardAgo = now.Sub(b.heardAt).Milliseconds()
+	n.HeartbeatAge = now.Sub(b.heartbeatAt).Milliseconds()
 	for id, models := range b.placements {
 		if n.Full || b.versions[id] > since {
 			n.Endpoints = append(n.Endpoints, newPlacement(now, id, models))
--- a/pkg/fleet/messages.go
+++ b/pkg/fleet/messages.go
@@ -32,17 +32,17 @@
 	// receiver already knows the list (FarKnown).
 	Far      []FarModel `cbor:"10,keyasint,omitempty"`
 	FarKnown bool       `cbor:"14,keyasint,omitempty"`
-	// StoreLoads is how many loads from the weight store can run at full speed, as learned by
+	// StoreLoadLimit is how many loads from the weight store can run at full speed, as learned by
 	// the controller.
-	StoreLoads int `cbor:"21,keyasint,omitempty"`
+	StoreLoadLimit int `cbor:"21,keyasint,omitempty"`
 	// Source is the incarnation of the responding host and Version the version of its state.
 	// The next Pull returns both.
 	Source  string `cbor:"15,keyasint,omitempty"`
 	Version int64  `cbor:"16,keyasint,omitempty"`
-	// HeardAgo is the time in milliseconds since the responding host heard from the
+	// HeartbeatAge is the time in milliseconds since the responding host received a heartbeat of the
 	// controller. Stamp is the newest controller timestamp that it has received.
-	HeardAgo int64 `cbor:"17,keyasint,omitempty"`
-	Stamp    int64 `cbor:"18,keyasint,omitempty"`
+	HeartbeatAge int64 `cbor:"17,keyasint,omitempty"`
+	Stamp        int64 `cbor:"18,keyasint,omitempty"`
 	// Hosts holds the newest host entries since the offset in the Pull, complete up to
 	// HostsNext.
 	Hosts     []Entry `cbor:"19,keyasint,omitempty"`
@@ -51,7 +51,7 @@
 	// these blocks if the checksum in the Pull differs.
 	BlocksChecksum uint64  `cbor:"22,keyasint,omitempty"`
 	Blocks         []Block `cbor:"23,keyasint,omitempty"`
-	// Accounts lists the client accounts near their limits, as of HeardAgo.
+	// Accounts lists the client accounts near their limits, as of HeartbeatAge.
 	Accounts AccountLevels `cbor:"24,keyasint"`
 	// SignalsChecksum is the checksum over all endpoint signals known to the responding host.
 	// Signals holds them if the checksum in the Pull differs.
@@ -71,10 +71,11 @@
 	// the host entries.
 	ListNext  int64 `cbor:"5,keyasint,omitempty"`
 	HostsNext int64 `cbor:"8,keyasint,omitempty"`
-	// Heard is what the requesting host has heard from the controller. Below is the same for
+	// Heartbeat is the last one of the controller that the requesting host has received.
+	// DownstreamHeartbeats holds the same for
 	// the hosts that pull from it, where endpoints do not check fencing tokens.
-	Heard Heard   `cbor:"6,keyasint"`
-	Below []Heard `cbor:"7,keyasint,omitempty"`
+	Heartbeat            ControllerHeartbeat   `cbor:"6,keyasint"`
+	DownstreamHeartbeats []ControllerHeartbeat `cbor:"7,keyasint,omitempty"`
 	// Crashes lists the crashes, seen by the requesting host and by the hosts that pull from
 	// it, that have not been sent to the responding host yet.
 	Crashes []CrashReport `cbor:"9,keyasint,omitempty"`
@@ -84,19 +85,19 @@
 	Blocks         []Block `cbor:"11,keyasint,omitempty"`
 	// Accounts is the usage at the requesting host and at the hosts that pull from it; nil if
 	// it was reported just before. Rising is set if the usage of an account has increased
-	// sharply. Brief is set if the host pulls in place of a relay, which will report the same
+	// sharply. ViaFallback is set if the host pulls in place of a relay, which will report the same
 	// usage again.
-	Accounts []AccountUsage `cbor:"12,keyasint,omitempty"`
-	Rising   bool           `cbor:"13,keyasint,omitempty"`
-	Brief    bool           `cbor:"14,keyasint,omitempty"`
+	Accounts    []AccountUsage `cbor:"12,keyasint,omitempty"`
+	Rising      bool           `cbor:"13,keyasint,omitempty"`
+	ViaFallback bool           `cbor:"14,keyasint,omitempty"`
 	// SignalsChecksum is the checksum over all endpoint signals known to the requesting host.
 	// Signals holds them if the responding host's last checksum differed.
 	SignalsChecksum uint64           `cbor:"15,keyasint,omitempty"`
 	Signals         []EndpointSignal `cbor:"16,keyasint,omitempty"`
 }
 
-// Heard is the last heartbeat of a controller that a host has received.
-type Heard struct {
+// ControllerHeartbeat is the last heartbeat of a controller that a host has received.
+type ControllerHeartbeat struct {
 	Host string `cbor:"1,keyasint"`
 	// Token is the fencing token of the newest claim known to the host. Stamp is the newest
 	// timestamp received from its holder.
--- a/pkg/gateway/allowance.go
+++ b/pkg/gateway/allowance.go
@@ -99,7 +99,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	life := allowance.ControllerTTL
-	if p.Brief {
+	if p.ViaFallback {
 		life = allowance.RelayTTL
 	}
 	a.aggregator.Add(now, p.Demand.Host, p.Accounts, life)
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -169,18 +169,18 @@
 func (g *Gateway) recordDemand(now time.Time, p fleet.Pull) {
 	held := g.election.Held()
 	if held == 0 {
-		if g.demandAggregator.Add(now, p.Demand, p.Heard) && g.hasUnplacedDemand(p.Demand) {
+		if g.demandAggregator.Add(now, p.Demand, p.Heartbeat) && g.hasUnplacedDemand(p.Demand) {
 			g.requestReport()
 		}
 		return
 	}
 	g.controller.Report(now, p.Demand)
 	trySend(g.stepNow)
-	for _, h := range append(p.Below, p.Heard) {
+	for _, h := range append(p.DownstreamHeartbeats, p.Heartbeat) {
 		if h.Stamp <= 0 {
 			continue
 		}
-		g.lease.Heard(held, orders.NoticeAnswer{
+		g.lease.RecordAck(held, orders.NoticeResponse{
 			Host:     h.Host,
 			Sent:     g.stampTime(h.Stamp),
 			Token:    h.Token,
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -18,7 +18,7 @@
 	// electionInterval is how often a host checks whether it should claim.
 	electionInterval = 100 * time.Millisecond
 	// holderCheckTimeout bounds the requests to other hosts before a claim. A holder counts as
-	// alive if another host has heard it within maxHolderAge.
+	// alive if another host has received its heartbeat within maxHolderAge.
 	holderCheckTimeout = 300 * time.Millisecond
 	maxHolderAge       = 700 * time.Millisecond
 	// maxHolderChecks is how many other hosts are asked. While the holder is alive most hosts
@@ -36,10 +36,10 @@
 // elect claims whenever there is no controller.
 func (g *Gateway) elect(ctx context.Context) {
 	every(ctx, electionInterval, func() {
-		if g.election.Running(bootTime()) {
+		if g.election.CheckSuspend(bootTime()) {
 			g.log.Warn("host was suspended; orders are paused until the store confirms the claim")
 		}
-		if g.election.Confirming() {
+		if g.election.AwaitingConfirmation() {
 			g.confirmClaim(ctx)
 		}
 		// The host entry must precede the claim: others consider a holder dead if its host has
@@ -47,17 +47,17 @@
 		if g.stopping.Load() || !g.announced.Load() || !g.election.ShouldClaim(g.Now()) {
 			return
 		}
-		g.challenge(ctx, g.holderHeardByPeer)
+		g.challenge(ctx, g.holderAliveAtPeer)
 	})
 }
 
-// challenge claims, unless another host has heard the holder of the newest claim. It gives up
+// challenge claims, unless another host has a recent heartbeat of its holder. It gives up
 // if a newer claim is seen meanwhile, so that hosts that were delayed do not replace a
 // controller that was just elected.
-func (g *Gateway) challenge(ctx context.Context, holderHeard func(context.Context) bool) {
+func (g *Gateway) challenge(ctx context.Context, holderAlive func(context.Context) bool) {
 	challenged := g.election.Newest().Token
 	end := g.mesh.claimsEnd()
-	if !g.election.Vacant() && holderHeard(ctx) {
+	if !g.election.Vacant() && holderAlive(ctx) {
 		return
 	}
 	wait.For(ctx, g.mesh.claimBackoff()+claimDelay(g.mesh.hosts()))
@@ -73,9 +73,9 @@
 	return rand.N(min(time.Duration(hosts)*claimDelayPerHost, maxClaimDelay))
 }
 
-// holderHeardByPeer reports whether another host has recently heard the holder of the newest
-// claim. If so the holder is alive, and only this host cannot reach it.
-func (g *Gateway) holderHeardByPeer(ctx context.Context) bool {
+// holderAliveAtPeer reports whether another host has a recent heartbeat of the holder of the
+// newest claim. If so the holder is alive, and only this host cannot reach it.
+func (g *Gateway) holderAliveAtPeer(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, holderCheckTimeout)
 	defer cancel()
 	holder := g.election.Newest()
@@ -84,7 +84,7 @@
 		at time.Time
 		ok bool
 	}
-	heard := make(chan observation, len(addrs))
+	alive := make(chan observation, len(addrs))
 	checks := 0
 	for _, addr := range addrs {
 		if addr == holder.Holder.Addr {
@@ -96,27 +96,27 @@
 			if err == nil && response.Claim != nil && response.Claim.Token > holder.Token {
 				g.election.Observe(g.Now(), *response.Claim)
 			}
-			ago, ok := holderLastHeard(response, holder.Token)
-			heard <- observation{g.Now().Add(-ago), err == nil && ok}
+			ago, ok := holderHeartbeatAge(response, holder.Token)
+			alive <- observation{g.Now().Add(-ago), err == nil && ok}
 		}()
 	}
 	for range checks {
-		if s := <-heard; s.ok {
-			g.election.Heard(s.at, holder.Token)
+		if s := <-alive; s.ok {
+			g.election.RecordHeartbeat(s.at, holder.Token)
 			return true
 		}
 	}
 	return false
 }
 
-// holderLastHeard returns how long ago another host heard the holder of a claim, and whether
-// that is recent. Hosts that do not know the caller, or that only know an older claim, cannot
+// holderHeartbeatAge returns how long ago another host received a heartbeat of the holder of a
+// claim, and whether that is recent. Hosts that do not know the caller, or that only know an older claim, cannot
 // vouch for this holder; counting them would delay the takeover from a dead holder.
-func holderLastHeard(response peer.Response, token int64) (ago time.Duration, ok bool) {
+func holderHeartbeatAge(response peer.Response, token int64) (ago time.Duration, ok bool) {
 	if response.Claim == nil || response.Claim.Token < token {
 		return 0, false
 	}
-	ago = time.Duration(response.HolderHeard) * time.Millisecond
+	ago = time.Duration(response.HolderHeartbeatAge) * time.Millisecond
 	return ago, ago < maxHolderAge
 }
 
@@ -144,7 +144,7 @@
 		}
 		return
 	}
-	g.election.Won(g.Now(), claimToken(offset))
+	g.election.ClaimAppended(g.Now(), claimToken(offset))
 	g.log.Info("claim won", "token", claimToken(offset))
 	trySend(g.stepNow)
 }
@@ -174,7 +174,7 @@
 		g.applyClaim(e)
 	}
 	g.mesh.setClaimsNext(batch.Next)
-	g.election.Caught()
+	g.election.CaughtUp()
 }
 
 // releaseClaim releases the claim on shutdown so that another host can claim at once. While the
@@ -188,7 +188,7 @@
 			return
 		}
 		if _, err := g.putClaim(ctx, released, g.mesh.claimsEnd()); err == nil {
-			g.election.Lost(held)
+			g.election.Relinquish(held)
 			g.log.Info("claim released", "token", held)
 			return
 		}
--- a/pkg/gateway/claim_test.go
+++ b/pkg/gateway/claim_test.go
@@ -34,7 +34,7 @@
 		ends   []int64
 	}{
 		{"no other claim", func(*Gateway) {}, false, []int64{7}},
-		{"another host has heard the holder", func(*Gateway) {}, true, nil},
+		{"another host has a heartbeat of the holder", func(*Gateway) {}, true, nil},
 		{"another host has claimed and the claim was read", func(g *Gateway) {
 			g.election.Observe(g.Now(), newer)
 			g.mesh.setClaimsNext(8)
--- a/pkg/gateway/control.go
+++ b/pkg/gateway/control.go
@@ -56,7 +56,7 @@
 			wait.For(ctx, maxStepInterval)
 			continue
 		}
-		if allowed := g.mayOrder(); allowed != wasAllowed {
+		if allowed := g.ordersAllowed(); allowed != wasAllowed {
 			wasAllowed = allowed
 			g.logOrdersAllowed(wasAllowed)
 		}
--- a/pkg/gateway/export_test.go
+++ b/pkg/gateway/export_test.go
@@ -28,8 +28,8 @@
 	return away
 }
 
-// MayOrder reports whether the host may issue orders.
-func (g *Gateway) MayOrder() bool { return g.mayOrder() }
+// OrdersAllowed reports whether the host may issue orders.
+func (g *Gateway) OrdersAllowed() bool { return g.ordersAllowed() }
 
 // CutPeers disconnects the host from the other hosts, but not from the store and the endpoints.
 func (g *Gateway) CutPeers() { _ = g.mesh.node.Close() }
--- a/pkg/gateway/follow.go
+++ b/pkg/gateway/follow.go
@@ -354,7 +354,7 @@
 		return
 	}
 	g.mesh.updatePeer(e.Key, h)
-	g.election.Restarted(e.Key, h.Incarnation)
+	g.election.RecordRestart(e.Key, h.Incarnation)
 }
 
 // deferFirstRead delays the first read of a topic while provided reports that other hosts
@@ -375,7 +375,7 @@
 			g.applyClaim(e)
 		}
 		g.mesh.setClaimsNext(b.Next)
-		g.election.Caught()
+		g.election.CaughtUp()
 	}
 	g.follower(fleet.TopicClaims, apply, apply).Run(ctx)
 }
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -41,7 +41,7 @@
 // Endpoints is the client of the endpoints.
 type Endpoints interface {
 	serve.Backend
-	orders.Orderer
+	orders.EndpointClient
 	// Terminated reports whether an incarnation of an endpoint has terminated. An error means that this
 	// is unknown.
 	Terminated(ctx context.Context, e fleet.Endpoint) (bool, error)
@@ -184,17 +184,17 @@
 	g.election = orders.NewElection(g.self, g.takeoverTimeout(), g.takeoverDelay(), g.Now())
 	g.lease = orders.NewHolderLease(s.Timing.Lease)
 	g.controller = &orders.Controller{
-		Election:  g.election,
-		Orderer:   g.endpoints,
-		Log:       g.log,
-		Now:       g.Now,
-		Config:    g.config.Load,
-		Endpoints: g.directory.Live,
-		MayOrder:  g.mayOrder,
+		Election:      g.election,
+		Client:        g.endpoints,
+		Log:           g.log,
+		Now:           g.Now,
+		Config:        g.config.Load,
+		Endpoints:     g.directory.Live,
+		OrdersAllowed: g.ordersAllowed,
 
 		Throttled: func(id fleet.EndpointID) bool { return g.health.Signals.Throttled(g.Now(), id) },
 
-		LearnedStoreLoads: g.board.StoreLoads,
+		FormerStoreLoadLimit: g.board.StoreLoadLimit,
 	}
 	g.handler = cfg.Door(g)
 	return g, nil
@@ -270,17 +270,17 @@
 	}
 }
 
-// mayOrder reports whether this host may issue orders. It always may where endpoints check
+// ordersAllowed reports whether this host may issue orders. It always may where endpoints check
 // fencing tokens; elsewhere it needs a valid lease.
-func (g *Gateway) mayOrder() bool {
+func (g *Gateway) ordersAllowed() bool {
 	if g.settings.Orders.EndpointsCheckTokens {
 		return true
 	}
 	now := g.Now()
-	return g.lease.May(now, g.election.Held(), g.listAge(now), g.mesh.names())
+	return g.lease.Valid(now, g.election.Held(), g.listAge(now), g.mesh.names())
 }
 
-// takeoverTimeout returns how long after the holder was last heard another host may take over.
+// takeoverTimeout returns how long after the last heartbeat of the holder another host may take over.
 // Where endpoints check fencing tokens, half of the lease is enough, since the orders of a
 // former holder are rejected.
 func (g *Gateway) takeoverTimeout() time.Duration {
@@ -296,7 +296,7 @@
 	if g.settings.Orders.EndpointsCheckTokens {
 		return 0
 	}
-	return orders.Settle(g.settings.Timing.Lease)
+	return orders.HandoffDelay(g.settings.Timing.Lease)
 }
 
 // requestReport triggers a demand report.
--- a/pkg/gateway/holder_test.go
+++ b/pkg/gateway/holder_test.go
@@ -11,7 +11,7 @@
 
 // Guards against a delayed takeover when a host that does not know the caller, or knows only an
 // older claim, is taken as evidence that the holder is alive.
-func TestHolderLastHeard(t *testing.T) {
+func TestHolderHeartbeatAge(t *testing.T) {
 	const token = 5
 	claim := func(token int64) *orders.Claim { return &orders.Claim{Token: token} }
 	for _, c := range []struct {
@@ -20,17 +20,17 @@
 		ok     bool
 	}{
 		{"does not know the caller", peer.Response{}, false},
-		{"knows an older claim", peer.Response{Claim: claim(token - 1), HolderHeard: 10}, false},
-		{"has heard the holder recently", peer.Response{Claim: claim(token), HolderHeard: 100}, true},
+		{"knows an older claim", peer.Response{Claim: claim(token - 1), HolderHeartbeatAge: 10}, false},
+		{"has a recent heartbeat of the holder", peer.Response{Claim: claim(token), HolderHeartbeatAge: 100}, true},
 		{"is the holder", peer.Response{Claim: claim(token), Controlling: true}, true},
-		{"has not heard the holder recently", peer.Response{Claim: claim(token), HolderHeard: 2000}, false},
-		{"knows a newer claim", peer.Response{Claim: claim(token + 1), HolderHeard: 10}, true},
+		{"has no recent heartbeat of the holder", peer.Response{Claim: claim(token), HolderHeartbeatAge: 2000}, false},
+		{"knows a newer claim", peer.Response{Claim: claim(token + 1), HolderHeartbeatAge: 10}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			ago, ok := holderLastHeard(c.answer, token)
+			ago, ok := holderHeartbeatAge(c.answer, token)
 			is.Equal(ok, c.ok)
-			is.True(!ok || ago == time.Duration(c.answer.HolderHeard)*time.Millisecond)
+			is.True(!ok || ago == time.Duration(c.answer.HolderHeartbeatAge)*time.Millisecond)
 		})
 	}
 }
--- a/pkg/gateway/orders_test.go
+++ b/pkg/gateway/orders_test.go
@@ -46,7 +46,7 @@
 			d.waitFor("the host is the controller", h.Controls)
 			h.storeListener.Set(site.Silent)
 			d.waitFor("the host notices the store outage", h.StoreAway)
-			d.waitFor("the list is older than half a lease", func() bool { return h.MayOrder() == checked })
+			d.waitFor("the list is older than half a lease", func() bool { return h.OrdersAllowed() == checked })
 			got := d.request(h, "/chat/", "cold")
 			is.Equal(got.status == http.StatusOK, checked)
 			h.storeListener.Set(site.Works)
--- a/pkg/gateway/peerhandler.go
+++ b/pkg/gateway/peerhandler.go
@@ -14,7 +14,7 @@
 	now := g.Now()
 	response := peer.Response{ConfigVersion: g.configVersion()}
 	if !r.Known {
-		g.lease.UnknownHost(now)
+		g.lease.RecordUnknownHost(now)
 		// The store has rejected this host, so its entry was never written. It may read the
 		// shared state, but nothing that it reports is used.
 		if r.State != nil {
@@ -34,7 +34,7 @@
 	claim := g.election.Newest()
 	response.Claim = &claim
 	response.Controlling = g.election.Held() != 0
-	response.HolderHeard = g.election.HeardAgo(now).Milliseconds()
+	response.HolderHeartbeatAge = g.election.SinceHeartbeat(now).Milliseconds()
 	response.StoreAge = g.listAge(now).Milliseconds()
 	return []peer.Response{response}
 }
@@ -75,7 +75,7 @@
 			Holder: orders.Holder{Host: n.Holder, Incarnation: n.Incarnation, Addr: n.Addr},
 			Token:  n.Token,
 		})
-		g.election.Heard(now.Add(-milliseconds(n.HeardAgo)), n.Token)
+		g.election.RecordHeartbeat(now.Add(-milliseconds(n.HeartbeatAge)), n.Token)
 		g.lastStamp.Store(&stamp{token: n.Token, at: n.Stamp})
 	}
 	g.applyListNotice(now, n)
--- a/pkg/gateway/pull.go
+++ b/pkg/gateway/pull.go
@@ -98,16 +98,16 @@
 		Demand:    g.demandFor(now, to, urgent),
 		ListNext:  g.directory.Offset(),
 		HostsNext: g.cache.hostsOffset(),
-		Heard:     g.controllerHeard(now),
+		Heartbeat: g.controllerHeartbeat(now),
 	}
 	p.Source, p.Token, p.Version = g.notices.position()
 	if !g.settings.Orders.EndpointsCheckTokens {
-		p.Below = g.demandAggregator.Heard(now)
+		p.DownstreamHeartbeats = g.demandAggregator.Heartbeats(now)
 	}
 	crashesNext := g.addCrashesTo(now, to.Addr, &p)
 	p.SignalsChecksum, p.Signals = g.signals.forRequest(now)
 	p.Accounts, p.Rising = g.accounts.usageReport(now)
-	p.Brief = isControllerFallback(upstreams, to)
+	p.ViaFallback = isControllerFallback(upstreams, to)
 	err := g.sendPull(ctx, to, p, crashesNext)
 	if err == nil {
 		g.mesh.markReachable(to.Addr)
@@ -173,14 +173,14 @@
 	g.mergeResponseBlocks(now, *response.Notice)
 	g.mergeSignals(now, response.Notice.Signals)
 	g.signals.acknowledge(response.Notice.SignalsChecksum)
-	if g.accounts.applyLevels(now, now.Add(-milliseconds(response.Notice.HeardAgo)), response.Notice.Accounts) {
+	if g.accounts.applyLevels(now, now.Add(-milliseconds(response.Notice.HeartbeatAge)), response.Notice.Accounts) {
 		g.children.wake()
 	}
 	if len(response.Notice.Hosts) > 0 {
 		g.applyHosts(fleet.Batch{Entries: response.Notice.Hosts, Next: response.Notice.HostsNext})
 	}
 	g.applyNotice(now, *response.Notice)
-	if !response.Controlling && milliseconds(response.Notice.HeardAgo) > maxNoticeAge {
+	if !response.Controlling && milliseconds(response.Notice.HeartbeatAge) > maxNoticeAge {
 		return errStaleUpstream
 	}
 	g.notices.recordResponse(now)
@@ -213,10 +213,10 @@
 	return g.mesh.upstreams(controller)
 }
 
-// controllerHeard returns this host's last contact with the controller.
-func (g *Gateway) controllerHeard(now time.Time) fleet.Heard {
+// controllerHeartbeat returns this host's last contact with the controller.
+func (g *Gateway) controllerHeartbeat(now time.Time) fleet.ControllerHeartbeat {
 	token := g.election.Newest().Token
-	return fleet.Heard{
+	return fleet.ControllerHeartbeat{
 		Host:     g.self.Host,
 		Token:    token,
 		Stamp:    g.stampOf(token),
--- a/pkg/gateway/signals.go
+++ b/pkg/gateway/signals.go
@@ -63,12 +63,12 @@
 	callEnded  callKind = "ended"
 )
 
-// allowCall counts a call. It returns orders.ErrLimited if the endpoint's rate limit, or a
+// allowCall counts a call. It returns orders.ErrRateLimited if the endpoint's rate limit, or a
 // pause that it has requested, leaves no room for it.
 func (g *Gateway) allowCall(c callKind, e fleet.Endpoint) error {
 	if !g.health.Signals.TryAcquire(g.Now(), e.ID) {
 		g.metrics.count("endpoint_calls_limited", map[string]string{"call": string(c)})
-		return orders.ErrLimited
+		return orders.ErrRateLimited
 	}
 	g.metrics.count("endpoint_calls", map[string]string{"call": string(c)})
 	return nil
@@ -81,7 +81,7 @@
 	allow func(callKind, fleet.Endpoint) error
 }
 
-// Order implements orders.Orderer.
+// Order implements orders.EndpointClient.
 func (l rateLimitedEndpoints) Order(ctx context.Context, e fleet.Endpoint, o orders.Order) (orders.Result, error) {
 	if err := l.allow(callOrder, e); err != nil {
 		return orders.Invalid, err
@@ -89,7 +89,7 @@
 	return l.Endpoints.Order(ctx, e, o)
 }
 
-// Report implements orders.Orderer.
+// Report implements orders.EndpointClient.
 func (l rateLimitedEndpoints) Report(ctx context.Context, e fleet.Endpoint) (fleet.Report, error) {
 	if err := l.allow(callReport, e); err != nil {
 		return fleet.Report{}, err
--- a/pkg/gateway/signals_inner_test.go
+++ b/pkg/gateway/signals_inner_test.go
@@ -119,6 +119,6 @@
 	}
 	g.health.Signals.Observe(g.Now(), "e", signals.Response{RetryAfter: time.Minute}, g.Now(), false)
 	for _, err := range calls() {
-		is.True(errors.Is(err, orders.ErrLimited))
+		is.True(errors.Is(err, orders.ErrRateLimited))
 	}
 }
--- a/pkg/orders/claim.go
+++ b/pkg/orders/claim.go
@@ -108,8 +108,8 @@
 	return c.Holder.Host == e.self.Host && c.Holder.Incarnation == e.self.Incarnation && !c.Holder.Released
 }
 
-// Caught records that all claims in the store were read.
-func (e *Election) Caught() {
+// CaughtUp records that all claims in the store were read.
+func (e *Election) CaughtUp() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.synced = true
@@ -118,10 +118,10 @@
 	}
 }
 
-// Heard records a heartbeat of the holder of a token. at is when the heartbeat was first
+// RecordHeartbeat records a heartbeat of the holder of a token. at is when the heartbeat was first
 // received, possibly by another host. Hosts that forwarded it with a newer time would keep
 // a dead holder alive.
-func (e *Election) Heard(at time.Time, token int64) {
+func (e *Election) RecordHeartbeat(at time.Time, token int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if token < e.newest.Token {
@@ -164,10 +164,10 @@
 	return e.vacant()
 }
 
-// HeardAgo returns the time since this host last knew of a heartbeat of the holder of the
+// SinceHeartbeat returns the time since this host last knew of a heartbeat of the holder of the
 // newest claim. Reading the claim does not count as a heartbeat: otherwise hosts that
 // restart one after the other delay the successor of a dead holder.
-func (e *Election) HeardAgo(now time.Time) time.Duration {
+func (e *Election) SinceHeartbeat(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -180,9 +180,9 @@
 	}
 }
 
-// Restarted records that a host has started a new incarnation. A claim held by its former
+// RecordRestart records that a host has started a new incarnation. A claim held by its former
 // incarnation is vacant at once, without waiting for the lease.
-func (e *Election) Restarted(host, incarnation string) {
+func (e *Election) RecordRestart(host, incarnation string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if h := e.newest.Holder; h.Host == host && h.Incarnation != incarnation {
@@ -190,8 +190,8 @@
 	}
 }
 
-// Won records that this host's claim was appended.
-func (e *Election) Won(now time.Time, token int64) {
+// ClaimAppended records that this host's claim was appended.
+func (e *Election) ClaimAppended(now time.Time, token int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.acceptClaim(now, token)
@@ -246,8 +246,8 @@
 	return e.newest
 }
 
-// Lost gives up the claim with the given token after an endpoint has seen a newer one.
-func (e *Election) Lost(token int64) {
+// Relinquish gives up the claim with the given token after an endpoint has seen a newer one.
+func (e *Election) Relinquish(token int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.held == token {
@@ -258,10 +258,10 @@
 	}
 }
 
-// Running takes a reading of the clock that includes suspended time. After a gap another
+// CheckSuspend takes a reading of the clock that includes suspended time. After a gap another
 // host may have claimed, so no orders are sent until the store confirms the claim. It
 // reports whether a held claim now waits for confirmation because of a gap.
-func (e *Election) Running(boottime time.Duration) bool {
+func (e *Election) CheckSuspend(boottime time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	gap := boottime - e.lastBoottime
@@ -273,8 +273,8 @@
 	return suspended && e.held != 0
 }
 
-// Confirming reports whether the claim waits for confirmation by the store.
-func (e *Election) Confirming() bool {
+// AwaitingConfirmation reports whether the claim waits for confirmation by the store.
+func (e *Election) AwaitingConfirmation() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.needsConfirm
--- a/pkg/orders/claim_test.go
+++ b/pkg/orders/claim_test.go
@@ -28,10 +28,10 @@
 	is := is.New(t)
 	e := election("b")
 	e.Observe(at(0), orders.Claim{Holder: holder("a"), Token: 1})
-	e.Heard(at(time.Second), 1)
+	e.RecordHeartbeat(at(time.Second), 1)
 	is.True(!e.ShouldClaim(at(2 * time.Second))) // last heartbeat one second ago
 	is.True(e.ShouldClaim(at(2500 * time.Millisecond)))
-	e.Won(at(2500*time.Millisecond), 2)
+	e.ClaimAppended(at(2500*time.Millisecond), 2)
 	is.Equal(e.Token(at(3900*time.Millisecond)), int64(0))
 	is.Equal(e.Token(at(4*time.Second)), int64(2))
 }
@@ -44,7 +44,7 @@
 	released.Released = true
 	e.Observe(at(0), orders.Claim{Holder: released, Token: 5})
 	is.True(e.ShouldClaim(at(0)))
-	e.Won(at(0), 6)
+	e.ClaimAppended(at(0), 6)
 	is.Equal(e.Token(at(0)), int64(6))
 }
 
@@ -54,16 +54,16 @@
 	is := is.New(t)
 	e := election("b")
 	e.Observe(at(0), orders.Claim{Holder: holder("a"), Token: 5})
-	e.Restarted("c", "c-2")
+	e.RecordRestart("c", "c-2")
 	is.True(!e.ShouldClaim(at(500 * time.Millisecond)))
-	e.Restarted("a", "a-2")
+	e.RecordRestart("a", "a-2")
 	is.True(e.ShouldClaim(at(time.Second)))
-	e.Won(at(time.Second), 6)
+	e.ClaimAppended(at(time.Second), 6)
 	is.Equal(e.Token(at(time.Second)), int64(6))
 	// The same incarnation is still the holder.
 	f := election("b")
 	f.Observe(at(0), orders.Claim{Holder: holder("a"), Token: 5})
-	f.Restarted("a", "a-1")
+	f.RecordRestart("a", "a-1")
 	is.True(!f.Vacant())
 }
 
@@ -73,7 +73,7 @@
 	is := is.New(t)
 	e := election("b")
 	is.True(!e.ShouldClaim(at(time.Minute)))
-	e.Caught()
+	e.CaughtUp()
 	is.True(e.ShouldClaim(at(time.Minute)))
 }
 
@@ -82,14 +82,14 @@
 func TestSuspendedHolderConfirmsClaim(t *testing.T) {
 	is := is.New(t)
 	e := election("a")
-	e.Caught()
-	e.Won(at(0), 1)
-	e.Running(time.Second)
+	e.CaughtUp()
+	e.ClaimAppended(at(0), 1)
+	e.CheckSuspend(time.Second)
 	is.Equal(e.Token(at(time.Second)), int64(1))
-	is.True(e.Running(6 * time.Second)) // suspended for five seconds
+	is.True(e.CheckSuspend(6 * time.Second)) // suspended for five seconds
 	is.Equal(e.Token(at(time.Second)), int64(0))
 	e.Observe(at(time.Second), orders.Claim{Holder: holder("b"), Token: 2})
-	e.Caught()
+	e.CaughtUp()
 	is.Equal(e.Token(at(time.Minute)), int64(0))
 	is.Equal(e.Held(), int64(0))
 }
@@ -99,11 +99,11 @@
 func TestFencedTokenIsNotReused(t *testing.T) {
 	is := is.New(t)
 	e := election("a")
-	e.Caught()
-	e.Won(at(0), 7)
-	e.Lost(7)
+	e.CaughtUp()
+	e.ClaimAppended(at(0), 7)
+	e.Relinquish(7)
 	e.Observe(at(time.Second), orders.Claim{Holder: holder("a"), Token: 7})
-	e.Caught()
+	e.CaughtUp()
 	is.Equal(e.Token(at(time.Minute)), int64(0))
 }
 
@@ -112,10 +112,10 @@
 func TestOwnClaimIsRecognized(t *testing.T) {
 	is := is.New(t)
 	e := election("a")
-	e.Caught()
+	e.CaughtUp()
 	is.True(e.ShouldClaim(at(0)))
 	e.Observe(at(100*time.Millisecond), orders.Claim{Holder: holder("a"), Token: 3})
-	e.Won(at(200*time.Millisecond), 3)
+	e.ClaimAppended(at(200*time.Millisecond), 3)
 	is.Equal(e.Token(at(200*time.Millisecond)), int64(3))
 	is.True(!e.ShouldClaim(at(time.Minute)))
 }
@@ -141,19 +141,19 @@
 				for ; read[i] < len(log); read[i]++ {
 					hosts[i].Observe(now, log[read[i]])
 				}
-				hosts[i].Caught()
+				hosts[i].CaughtUp()
 			case 1: // claim at the end of the claims
 				if hosts[i].ShouldClaim(now) && read[i] == len(log) {
 					c := orders.Claim{Holder: holder(names[i]), Token: int64(len(log) + 1)}
 					log = append(log, c)
-					hosts[i].Won(now, c.Token)
+					hosts[i].ClaimAppended(now, c.Token)
 				}
 			case 2:
 				if len(log) > 0 {
-					hosts[i].Heard(now, log[len(log)-1].Token)
+					hosts[i].RecordHeartbeat(now, log[len(log)-1].Token)
 				}
 			case 3:
-				hosts[i].Running(now.Sub(start))
+				hosts[i].CheckSuspend(now.Sub(start))
 			}
 			for k, h := range hosts {
 				token := h.Token(now)
@@ -178,12 +178,12 @@
 	is := is.New(t)
 	fresh := election("c")
 	fresh.Observe(at(2*time.Second), orders.Claim{Holder: holder("a"), Token: 5})
-	is.True(fresh.HeardAgo(at(2*time.Second)) > lease)
+	is.True(fresh.SinceHeartbeat(at(2*time.Second)) > lease)
 	is.True(!fresh.ShouldClaim(at(2100 * time.Millisecond))) // a heartbeat may still arrive
-	fresh.Heard(at(2200*time.Millisecond), 5)
-	is.Equal(fresh.HeardAgo(at(2300*time.Millisecond)), 100*time.Millisecond)
+	fresh.RecordHeartbeat(at(2200*time.Millisecond), 5)
+	is.Equal(fresh.SinceHeartbeat(at(2300*time.Millisecond)), 100*time.Millisecond)
 	fresh.Observe(at(2400*time.Millisecond), orders.Claim{Holder: holder("b"), Token: 6})
-	is.True(fresh.HeardAgo(at(2400*time.Millisecond)) > lease) // not a heartbeat of the new holder
+	is.True(fresh.SinceHeartbeat(at(2400*time.Millisecond)) > lease) // not a heartbeat of the new holder
 }
 
 // Guards against forwarded heartbeats that become newer on the way: two hosts that ask each
@@ -194,11 +194,11 @@
 	for _, e := range []*orders.Election{a, b} {
 		e.Observe(at(0), orders.Claim{Holder: holder("dead"), Token: 5})
 	}
-	a.Heard(at(500*time.Millisecond), 5)
+	a.RecordHeartbeat(at(500*time.Millisecond), 5)
 	for i := range 20 {
 		now := at(500*time.Millisecond + time.Duration(i)*100*time.Millisecond)
-		b.Heard(now.Add(-a.HeardAgo(now)), 5)
-		a.Heard(now.Add(-b.HeardAgo(now)), 5)
+		b.RecordHeartbeat(now.Add(-a.SinceHeartbeat(now)), 5)
+		a.RecordHeartbeat(now.Add(-b.SinceHeartbeat(now)), 5)
 	}
 	is.True(a.ShouldClaim(at(1800 * time.Millisecond)))
 	is.True(b.ShouldClaim(at(1800 * time.Millisecond)))
--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -52,22 +52,22 @@
 // Controller sends orders while this host holds the claim. It is safe for concurrent use.
 type Controller struct {
 	Election *Election
-	Orderer  Orderer
+	Client   EndpointClient
 	Log      *slog.Logger
 	Now      func() time.Time
 	// Config returns the current configuration, or nil before the first is read.
 	Config func() *fleet.Config
 	// Endpoints returns the live endpoints.
 	Endpoints func(now time.Time) []fleet.View
-	// MayOrder is called before each order. Orders are sent only while it returns true.
-	MayOrder func() bool
+	// OrdersAllowed is called before each order. Orders are sent only while it returns true.
+	OrdersAllowed func() bool
 	// Throttled reports whether an endpoint states a request rate limit or has asked this host
 	// to back off. Such an endpoint gets no models, and the models it holds do not count as
 	// replicas. It may be nil.
 	Throttled func(id fleet.EndpointID) bool
-	// LearnedStoreLoads returns the number of concurrent loads that a former controller
+	// FormerStoreLoadLimit returns the number of concurrent loads that a former controller
 	// found the weight store to run at full speed, or 0 if unknown. It may be nil.
-	LearnedStoreLoads func() int
+	FormerStoreLoadLimit func() int
 
 	mu       sync.Mutex
 	token    int64
@@ -112,8 +112,8 @@
 		c.token = held
 		c.trackers = map[fleet.EndpointID]*endpointTracker{}
 		c.demand = NewDemand(now)
-		if c.LearnedStoreLoads != nil {
-			c.storeLimit.restore(c.LearnedStoreLoads())
+		if c.FormerStoreLoadLimit != nil {
+			c.storeLimit.restore(c.FormerStoreLoadLimit())
 		}
 	}
 	cfg := c.Config()
@@ -121,7 +121,7 @@
 		return nil
 	}
 	byService := c.syncTrackers(now, cfg)
-	if token := c.Election.Token(now); token != 0 && c.MayOrder() {
+	if token := c.Election.Token(now); token != 0 && c.OrdersAllowed() {
 		totals := c.demand.totals(now)
 		c.farModels = nil
 		for _, name := range sortedKeys(byService) {
@@ -177,7 +177,7 @@
 }
 
 func (c *Controller) buildNotice(now time.Time, token, version int64, full bool) *fleet.Notice {
-	n := &fleet.Notice{StoreLoads: c.storeLimit.allowed(), Far: c.farModels, Holder: c.Election.self.Host, Token: token, Full: full, ConfigVersion: version}
+	n := &fleet.Notice{StoreLoadLimit: c.storeLimit.allowed(), Far: c.farModels, Holder: c.Election.self.Host, Token: token, Full: full, ConfigVersion: version}
 	for _, t := range c.trackers {
 		if t.takeChanged() || full {
 			n.Endpoints = append(n.Endpoints, t.placement(now))
--- a/pkg/orders/controller_test.go
+++ b/pkg/orders/controller_test.go
@@ -34,21 +34,21 @@
 // endpoint, which lists the given models.
 func newController(e *engine, token int64, listed ...string) *orders.Controller {
 	el := orders.NewElection(holder("a"), lease, 0, time.Now())
-	el.Caught()
-	el.Won(time.Now(), token)
+	el.CaughtUp()
+	el.ClaimAppended(time.Now(), token)
 	cfg := config()
 	endpoint := fleet.Endpoint{ID: "e", Service: "llm", OnDisk: []string{"cold", "x", "y", "big"}}
 	for _, m := range listed {
 		endpoint.Holds = append(endpoint.Holds, fleet.Held{Model: m})
 	}
 	return &orders.Controller{
-		Election:  el,
-		Orderer:   e,
-		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Now:       time.Now,
-		Config:    func() *fleet.Config { return cfg },
-		Endpoints: func(time.Time) []fleet.View { return []fleet.View{{Endpoint: endpoint}} },
-		MayOrder:  func() bool { return true },
+		Election:      el,
+		Client:        e,
+		Log:           slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Now:           time.Now,
+		Config:        func() *fleet.Config { return cfg },
+		Endpoints:     func(time.Time) []fleet.View { return []fleet.View{{Endpoint: endpoint}} },
+		OrdersAllowed: func() bool { return true },
 	}
 }
 
@@ -231,7 +231,7 @@
 	})
 }
 
-// engines implements orders.Orderer for several endpoints.
+// engines implements orders.EndpointClient for several endpoints.
 type engines map[fleet.EndpointID]*engine
 
 func (e engines) Order(ctx context.Context, to fleet.Endpoint, o orders.Order) (orders.Result, error) {
@@ -260,7 +260,7 @@
 		}
 		both["e1"].nextLoss, both["e2"].nextLoss = loseFirst, loseFirst
 		c := newController(both["e1"], 1, "x", "y")
-		c.Orderer = both
+		c.Client = both
 		first := c.Endpoints(time.Now())[0]
 		second := first
 		first.ID, second.ID = "e1", "e2"
@@ -287,7 +287,7 @@
 			is := is.NewRelaxed(t)
 			both := engines{"e1": newEngine(130, weights, "cold"), "e2": newEngine(130, weights, "x", "y")}
 			c := newController(both["e1"], 1)
-			c.Orderer = both
+			c.Client = both
 			view := c.Endpoints(time.Now())[0]
 			first, second := view, view
 			first.ID, second.ID = "e1", "e2"
@@ -322,7 +322,7 @@
 			is := is.NewRelaxed(t)
 			both := engines{"e1": newEngine(130, weights, "cold"), "e2": newEngine(130, weights, "x", "y")}
 			c := newController(both["e1"], 1)
-			c.Orderer = both
+			c.Client = both
 			c.Throttled = func(id fleet.EndpointID) bool { return id == "e1" && !backoffRequested }
 			view := c.Endpoints(time.Now())[0]
 			first, second := view, view
@@ -377,7 +377,7 @@
 				views = append(views, fleet.View{Endpoint: fleet.Endpoint{ID: id, Service: "llm"}})
 			}
 			c := newController(all["e00"], 1)
-			c.Orderer = all
+			c.Client = all
 			c.Endpoints = func(time.Time) []fleet.View { return views }
 			cfg := config()
 			engine := cfg.Services["llm"].Engine
--- a/pkg/orders/orderer.go
+++ b/pkg/orders/endpoint_client.go
@@ -34,8 +34,8 @@
 	Conflict
 	// Fenced means that the endpoint has seen a newer token.
 	Fenced
-	// Gone means that the address belongs to another endpoint.
-	Gone
+	// WrongEndpoint means that the address belongs to another endpoint.
+	WrongEndpoint
 	// Invalid means that the endpoint rejected the order as malformed.
 	Invalid
 )
@@ -45,9 +45,9 @@
 	return [...]string{"accepted", "done", "conflict", "fenced", "gone", "invalid"}[r]
 }
 
-// ErrNoAnswer means that it is unknown whether the endpoint has accepted or will accept an
+// ErrNoResponse means that it is unknown whether the endpoint has accepted or will accept an
 // order.
-var ErrNoAnswer = errors.New("no response to order")
+var ErrNoResponse = errors.New("no response to order")
 
 // ErrUnreachable means that no connection to the endpoint could be made.
 var ErrUnreachable = errors.New("endpoint is not reachable")
@@ -56,12 +56,12 @@
 // its former incarnation cannot be answered.
 var ErrRestarted = errors.New("endpoint has restarted")
 
-// ErrLimited means that nothing was sent because the endpoint's rate limit is exhausted at
+// ErrRateLimited means that nothing was sent because the endpoint's rate limit is exhausted at
 // this host or the endpoint has asked it to back off.
-var ErrLimited = errors.New("endpoint rate limit exhausted or backoff requested")
+var ErrRateLimited = errors.New("endpoint rate limit exhausted or backoff requested")
 
-// Orderer sends orders and report requests to endpoints.
-type Orderer interface {
+// EndpointClient sends orders and report requests to endpoints.
+type EndpointClient interface {
 	// Order sends an order once. After an error its outcome is unknown.
 	Order(ctx context.Context, e fleet.Endpoint, o Order) (Result, error)
 	// Report requests an endpoint's state, which may lag.
--- a/pkg/orders/engine_test.go
+++ b/pkg/orders/engine_test.go
@@ -30,7 +30,7 @@
 	// nextLoss returns what happens to the next order.
 	nextLoss func() loss
 	// silent makes reports fail, down makes connections fail and limited makes orders fail
-	// with ErrLimited.
+	// with ErrRateLimited.
 	silent  bool
 	down    bool
 	limited bool
@@ -106,7 +106,7 @@
 	l, down, limited := e.nextLoss(), e.down, e.limited
 	e.mu.Unlock()
 	if limited {
-		return 0, orders.ErrLimited
+		return 0, orders.ErrRateLimited
 	}
 	if down {
 		return 0, orders.ErrUnreachable
@@ -114,15 +114,15 @@
 	switch l {
 	case lostOrder:
 		<-ctx.Done()
-		return 0, errors.Join(orders.ErrNoAnswer, ctx.Err())
+		return 0, errors.Join(orders.ErrNoResponse, ctx.Err())
 	case lostResponse:
 		e.execute(o)
 		<-ctx.Done()
-		return 0, errors.Join(orders.ErrNoAnswer, ctx.Err())
+		return 0, errors.Join(orders.ErrNoResponse, ctx.Err())
 	case delayedOrder:
 		time.AfterFunc(3*time.Second, func() { e.execute(o) })
 		<-ctx.Done()
-		return 0, errors.Join(orders.ErrNoAnswer, ctx.Err())
+		return 0, errors.Join(orders.ErrNoResponse, ctx.Err())
 	}
 	return e.execute(o), nil
 }
--- a/pkg/orders/holderlease.go
+++ b/pkg/orders/holderlease.go
@@ -35,8 +35,8 @@
 	granted map[string]time.Time
 	// storeRead is when another host that knew no newer claim last read the store.
 	storeRead time.Time
-	// unknownHost is when an unknown host last sent a message.
-	unknownHost time.Time
+	// unknownHostAt is when an unknown host last sent a message.
+	unknownHostAt time.Time
 }
 
 // NewHolderLease returns a HolderLease without grants.
@@ -44,8 +44,8 @@
 	return &HolderLease{lease: lease, granted: map[string]time.Time{}}
 }
 
-// NoticeAnswer is another host's response to a notice.
-type NoticeAnswer struct {
+// NoticeResponse is another host's response to a notice.
+type NoticeResponse struct {
 	Host string
 	// Sent is when the notice was sent, which is before the other host received it.
 	Sent time.Time
@@ -55,8 +55,8 @@
 	StoreAge time.Duration
 }
 
-// Heard records another host's response to a notice of the holder of a token.
-func (l *HolderLease) Heard(token int64, a NoticeAnswer) {
+// RecordAck records another host's response to a notice of the holder of a token.
+func (l *HolderLease) RecordAck(token int64, a NoticeResponse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reset(token)
@@ -71,11 +71,11 @@
 	}
 }
 
-// UnknownHost records a message from a host that is not known.
-func (l *HolderLease) UnknownHost(now time.Time) {
+// RecordUnknownHost records a message from a host that is not known.
+func (l *HolderLease) RecordUnknownHost(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.unknownHost = now
+	l.unknownHostAt = now
 }
 
 // reset drops what was granted for a former claim.
@@ -91,13 +91,13 @@
 // storeLeaseTime returns how long a read of the store allows a holder to send orders.
 func storeLeaseTime(lease time.Duration) time.Duration { return lease / storeLeaseDivisor }
 
-// Settle returns how long after a newer claim orders may still arrive from a former holder
+// HandoffDelay returns how long after a newer claim orders may still arrive from a former holder
 // that does not know of it.
-func Settle(lease time.Duration) time.Duration { return storeLeaseTime(lease) + orderTimeout }
+func HandoffDelay(lease time.Duration) time.Duration { return storeLeaseTime(lease) + orderTimeout }
 
-// May reports whether the holder of a token may send orders. storeAge is the time since
+// Valid reports whether the holder of a token may send orders. storeAge is the time since
 // this host last read the store. hosts are all other known hosts.
-func (l *HolderLease) May(now time.Time, token int64, storeAge time.Duration, hosts []string) bool {
+func (l *HolderLease) Valid(now time.Time, token int64, storeAge time.Duration, hosts []string) bool {
 	if storeAge < storeLeaseTime(l.lease) {
 		return true
 	}
@@ -110,7 +110,7 @@
 }
 
 func (l *HolderLease) grantedByAll(now time.Time, hosts []string) bool {
-	if len(hosts) == 0 || now.Sub(l.unknownHost) < l.lease {
+	if len(hosts) == 0 || now.Sub(l.unknownHostAt) < l.lease {
 		return false
 	}
 	for _, h := range hosts {
--- a/pkg/orders/holderlease_test.go
+++ b/pkg/orders/holderlease_test.go
@@ -14,12 +14,12 @@
 // acknowledgment.
 func TestHolderLeaseWithoutStore(t *testing.T) {
 	const longAgo = time.Hour
-	answer := func(host string, sent time.Duration, token int64, storeAge time.Duration) orders.NoticeAnswer {
-		return orders.NoticeAnswer{Host: host, Sent: at(sent), Token: token, StoreAge: storeAge}
+	answer := func(host string, sent time.Duration, token int64, storeAge time.Duration) orders.NoticeResponse {
+		return orders.NoticeResponse{Host: host, Sent: at(sent), Token: token, StoreAge: storeAge}
 	}
 	for _, c := range []struct {
 		name     string
-		answers  []orders.NoticeAnswer
+		answers  []orders.NoticeResponse
 		unknown  bool
 		now      time.Duration
 		storeAge time.Duration
@@ -27,25 +27,25 @@
 	}{
 		{name: "store read recently", now: time.Second, storeAge: time.Second, may: true},
 		{name: "no acknowledgment", now: time.Second, storeAge: longAgo},
-		{name: "acknowledged by all hosts", answers: []orders.NoticeAnswer{answer("b", 0, 1, longAgo), answer("c", 100*time.Millisecond, 1, longAgo)}, now: 2 * time.Second, storeAge: longAgo, may: true},
-		{name: "one host missing", answers: []orders.NoticeAnswer{answer("b", 0, 1, longAgo)}, now: time.Second, storeAge: longAgo},
-		{name: "one acknowledgment expired", answers: []orders.NoticeAnswer{answer("b", 0, 1, longAgo), answer("c", 2*time.Second, 1, longAgo)}, now: 3 * time.Second, storeAge: longAgo},
-		{name: "one host knows a newer claim", answers: []orders.NoticeAnswer{answer("b", 0, 1, longAgo), answer("c", 0, 2, longAgo)}, now: time.Second, storeAge: longAgo},
-		{name: "message from an unknown host", answers: []orders.NoticeAnswer{answer("b", 0, 1, longAgo), answer("c", 0, 1, longAgo)}, unknown: true, now: time.Second, storeAge: longAgo},
-		{name: "store read recently by another host", answers: []orders.NoticeAnswer{answer("b", 0, 1, time.Second)}, now: 400 * time.Millisecond, storeAge: longAgo, may: true},
-		{name: "store read by another host expired", answers: []orders.NoticeAnswer{answer("b", 0, 1, time.Second)}, now: 600 * time.Millisecond, storeAge: longAgo},
+		{name: "acknowledged by all hosts", answers: []orders.NoticeResponse{answer("b", 0, 1, longAgo), answer("c", 100*time.Millisecond, 1, longAgo)}, now: 2 * time.Second, storeAge: longAgo, may: true},
+		{name: "one host missing", answers: []orders.NoticeResponse{answer("b", 0, 1, longAgo)}, now: time.Second, storeAge: longAgo},
+		{name: "one acknowledgment expired", answers: []orders.NoticeResponse{answer("b", 0, 1, longAgo), answer("c", 2*time.Second, 1, longAgo)}, now: 3 * time.Second, storeAge: longAgo},
+		{name: "one host knows a newer claim", answers: []orders.NoticeResponse{answer("b", 0, 1, longAgo), answer("c", 0, 2, longAgo)}, now: time.Second, storeAge: longAgo},
+		{name: "message from an unknown host", answers: []orders.NoticeResponse{answer("b", 0, 1, longAgo), answer("c", 0, 1, longAgo)}, unknown: true, now: time.Second, storeAge: longAgo},
+		{name: "store read recently by another host", answers: []orders.NoticeResponse{answer("b", 0, 1, time.Second)}, now: 400 * time.Millisecond, storeAge: longAgo, may: true},
+		{name: "store read by another host expired", answers: []orders.NoticeResponse{answer("b", 0, 1, time.Second)}, now: 600 * time.Millisecond, storeAge: longAgo},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			l := orders.NewHolderLease(lease)
 			if c.unknown {
-				l.UnknownHost(at(0))
+				l.RecordUnknownHost(at(0))
 			}
 			for _, a := range c.answers {
-				l.Heard(1, a)
+				l.RecordAck(1, a)
 			}
-			is.Equal(l.May(at(c.now), 1, c.storeAge, []string{"b", "c"}), c.may)
-			is.Equal(l.May(at(c.now), 2, longAgo, []string{"b", "c"}), false) // no grants for another claim
+			is.Equal(l.Valid(at(c.now), 1, c.storeAge, []string{"b", "c"}), c.may)
+			is.Equal(l.Valid(at(c.now), 2, longAgo, []string{"b", "c"}), false) // no grants for another claim
 		})
 	}
 }
@@ -98,7 +98,7 @@
 	for _, name := range []string{"a", "b", "c"} {
 		w.hosts = append(w.hosts, &leaseHost{
 			name:           name,
-			election:       orders.NewElection(holder(name), lease, orders.Settle(lease), start),
+			election:       orders.NewElection(holder(name), lease, orders.HandoffDelay(lease), start),
 			lease:          orders.NewHolderLease(lease),
 			storeRead:      start,
 			storeReachable: true,
@@ -130,7 +130,7 @@
 		if h.storeReachable {
 			h.storeRead = w.now
 			h.election.Observe(w.now, w.claim)
-			h.election.Caught()
+			h.election.CaughtUp()
 		}
 		if h.election.ShouldClaim(w.now) && (h.election.Vacant() || !w.heardElsewhere(h)) {
 			w.claimNow(h)
@@ -147,7 +147,7 @@
 
 func (w *leaseWorld) heardElsewhere(h *leaseHost) bool {
 	for _, p := range w.hosts {
-		if p != h && !w.cut[linkOf(h, p)] && p.election.HeardAgo(w.now) < 700*time.Millisecond {
+		if p != h && !w.cut[linkOf(h, p)] && p.election.SinceHeartbeat(w.now) < 700*time.Millisecond {
 			return true
 		}
 	}
@@ -160,7 +160,7 @@
 		return
 	}
 	w.claim = orders.Claim{Holder: holder(h.name), Token: w.claim.Token + 1}
-	h.election.Won(w.now, w.claim.Token)
+	h.election.ClaimAppended(w.now, w.claim.Token)
 }
 
 func (w *leaseWorld) notice(h *leaseHost) {
@@ -169,10 +169,10 @@
 			continue
 		}
 		p.election.Observe(w.now, orders.Claim{Holder: holder(h.name), Token: h.held})
-		p.election.Heard(w.now, h.held)
+		p.election.RecordHeartbeat(w.now, h.held)
 		newest := p.election.Newest()
 		h.election.Observe(w.now, newest)
-		h.lease.Heard(h.held, orders.NoticeAnswer{Host: p.name, Sent: w.now, Token: newest.Token, StoreAge: w.now.Sub(p.storeRead)})
+		h.lease.RecordAck(h.held, orders.NoticeResponse{Host: p.name, Sent: w.now, Token: newest.Token, StoreAge: w.now.Sub(p.storeRead)})
 	}
 }
 
@@ -186,7 +186,7 @@
 		}
 	}
 	token := h.election.Token(w.now)
-	if token == 0 || w.now.Sub(h.won) < warmup || !h.lease.May(w.now, token, w.now.Sub(h.storeRead), others) {
+	if token == 0 || w.now.Sub(h.won) < warmup || !h.lease.Valid(w.now, token, w.now.Sub(h.storeRead), others) {
 		return
 	}
 	for other, last := range w.lastOrder {
--- a/pkg/orders/send.go
+++ b/pkg/orders/send.go
@@ -22,7 +22,7 @@
 	s := outgoingOrder{order: o}
 	deadline := c.Now().Add(conflictTimeout)
 	state := pending
-	for state == pending && c.Now().Before(deadline) && ctx.Err() == nil && c.Election.Token(c.Now()) == token && c.MayOrder() {
+	for state == pending && c.Now().Before(deadline) && ctx.Err() == nil && c.Election.Token(c.Now()) == token && c.OrdersAllowed() {
 		state = c.sendOnce(ctx, t, &s)
 	}
 	if state != accepted && s.unanswered {
@@ -56,7 +56,7 @@
 	case errors.Is(err, ErrUnreachable):
 		t.markUnreachable(c.Now())
 		return abandoned
-	case errors.Is(err, ErrLimited):
+	case errors.Is(err, ErrRateLimited):
 		return abandoned
 	case err != nil:
 		s.unanswered = true
@@ -73,7 +73,7 @@
 		return c.handleConflict(ctx, t, e, s)
 	case result == Fenced:
 		c.Log.Warn("claim lost: endpoint has seen a newer token", "endpoint", e.ID, "token", o.Token)
-		c.Election.Lost(o.Token)
+		c.Election.Relinquish(o.Token)
 	}
 	return abandoned
 }
@@ -105,7 +105,7 @@
 func (c *Controller) send(ctx context.Context, e fleet.Endpoint, o Order) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return c.Orderer.Order(ctx, e, o)
+	return c.Client.Order(ctx, e, o)
 }
 
 // verifyOrder checks the endpoint's report after a repeated order found its work done.
--- a/pkg/orders/swap.go
+++ b/pkg/orders/swap.go
@@ -98,7 +98,7 @@
 func (c *Controller) report(ctx context.Context, e fleet.Endpoint) (fleet.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	return c.Orderer.Report(ctx, e)
+	return c.Client.Report(ctx, e)
 }
 
 // applyLoadReport updates a loading model from a report and reports whether the load has
--- a/pkg/peer/message.go
+++ b/pkg/peer/message.go
@@ -85,9 +85,9 @@
 	State       *StateAnswer `cbor:"7,keyasint,omitempty"`
 	// ConfigVersion is the configuration version in use at the responding host.
 	ConfigVersion int64 `cbor:"8,keyasint,omitempty"`
-	// HolderHeard is the time in milliseconds since the responding host heard from the holder
+	// HolderHeartbeatAge is the time in milliseconds since the responding host heard from the holder
 	// of that claim.
-	HolderHeard int64 `cbor:"9,keyasint,omitempty"`
+	HolderHeartbeatAge int64 `cbor:"9,keyasint,omitempty"`
 	// StoreAge is the time in milliseconds since the store last responded to that host.
 	StoreAge int64 `cbor:"10,keyasint,omitempty"`
 	// Notice is the response to a Pull. It is nil if a newer Pull of the same host replaced
--- a/pkg/pool/messages.go
+++ b/pkg/pool/messages.go
@@ -46,8 +46,8 @@
 const (
 	// OrderOK means that the order took effect.
 	OrderOK OrderResult = iota
-	// OrderRefused means that the endpoint responded and did nothing.
-	OrderRefused
+	// OrderRejected means that the endpoint responded and did nothing.
+	OrderRejected
 	// OrderUnknown means that the connection ended without a response.
 	OrderUnknown
 )
--- a/pkg/pool/world_test.go
+++ b/pkg/pool/world_test.go
@@ -298,10 +298,10 @@
 func (w *world) execute(o pool.Order) pool.OrderResult {
 	e := w.endpoint(o.Endpoint)
 	if e.incarnation != o.Incarnation {
-		return pool.OrderRefused
+		return pool.OrderRejected
 	}
 	if e.fencing && o.Fence < e.token {
-		return pool.OrderRefused
+		return pool.OrderRejected
 	}
 	e.token = max(e.token, o.Fence)
 	switch o.Kind {
--- a/pkg/relay/aggregator.go
+++ b/pkg/relay/aggregator.go
@@ -42,7 +42,7 @@
 	needs                   []fleet.NeedReport
 	unreachable             []fleet.EndpointID
 	backoffRequested        []fleet.EndpointID
-	heard                   []fleet.Heard
+	heartbeats              []fleet.ControllerHeartbeat
 }
 
 // NewAggregator returns an empty aggregator.
@@ -51,7 +51,7 @@
 }
 
 // Add applies a host's report and reports whether it is newer than the last one.
-func (s *Aggregator) Add(now time.Time, r fleet.DemandReport, h fleet.Heard) bool {
+func (s *Aggregator) Add(now time.Time, r fleet.DemandReport, h fleet.ControllerHeartbeat) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.children[r.Host]
@@ -78,7 +78,7 @@
 		needs:            r.Needs,
 		unreachable:      r.Unreachable,
 		backoffRequested: r.BackoffRequested,
-		heard:            []fleet.Heard{h},
+		heartbeats:       []fleet.ControllerHeartbeat{h},
 	}
 	return true
 }
@@ -146,14 +146,14 @@
 	return set
 }
 
-// Heard returns what each host behind this one has received from the controller.
-func (s *Aggregator) Heard(now time.Time) []fleet.Heard {
+// Heartbeats returns what each host behind this one has received from the controller.
+func (s *Aggregator) Heartbeats(now time.Time) []fleet.ControllerHeartbeat {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(now)
-	var out []fleet.Heard
+	var out []fleet.ControllerHeartbeat
 	for _, c := range s.children {
-		out = append(out, c.heard...)
+		out = append(out, c.heartbeats...)
 	}
 	return out
 }
@@ -161,7 +161,7 @@
 func (s *Aggregator) expire(now time.Time) {
 	for host, c := range s.children {
 		if now.Sub(c.confirmedAt) > childLife {
-			c.needs, c.unreachable, c.backoffRequested, c.heard = nil, nil, nil, nil
+			c.needs, c.unreachable, c.backoffRequested, c.heartbeats = nil, nil, nil, nil
 		}
 		if now.Sub(c.confirmedAt) > seqLife {
 			delete(s.children, host)
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -110,10 +110,10 @@
 				}
 				sent[at] = append(sent[at], r)
 				sentAt[at] = now
-				relays[at].Add(now, r, fleet.Heard{})
+				relays[at].Add(now, r, fleet.ControllerHeartbeat{})
 			case 1: // deliver a duplicate of the last report while it may still arrive
 				if len(sent[at]) > 0 && now.Sub(sentAt[at]) < time.Second {
-					relays[at].Add(now, sent[at][len(sent[at])-1], fleet.Heard{})
+					relays[at].Add(now, sent[at][len(sent[at])-1], fleet.ControllerHeartbeat{})
 				}
 			case 2:
 				counted += arrivals(relays[at].Sum(now, fleet.DemandReport{}))
@@ -160,18 +160,18 @@
 	need := func(waiting, inTime int, due int64) []fleet.NeedReport {
 		return []fleet.NeedReport{{Service: "s", Model: "m", Waiting: waiting, InTime: inTime, DueIn: due, Arrived: waiting}}
 	}
-	s.Add(now, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(2, 0, 100), Unreachable: []fleet.EndpointID{"e"}, BackoffRequested: []fleet.EndpointID{"f"}}, fleet.Heard{Host: "a"})
-	s.Add(now, fleet.DemandReport{Host: "b", Seq: 1, Needs: need(1, 1, 900)}, fleet.Heard{Host: "b"})
+	s.Add(now, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(2, 0, 100), Unreachable: []fleet.EndpointID{"e"}, BackoffRequested: []fleet.EndpointID{"f"}}, fleet.ControllerHeartbeat{Host: "a"})
+	s.Add(now, fleet.DemandReport{Host: "b", Seq: 1, Needs: need(1, 1, 900)}, fleet.ControllerHeartbeat{Host: "b"})
 	at := now.Add(100 * time.Millisecond)
 	sum := s.Sum(at, fleet.DemandReport{Host: "r", Needs: need(1, 0, 50)})
 	is.Equal(sum.Host, "r")
 	is.Equal(sum.Needs, []fleet.NeedReport{{Service: "s", Model: "m", Waiting: 4, InTime: 1, DueIn: 800, Arrived: 4}})
 	is.Equal(sum.Unreachable, []fleet.EndpointID{"e"})
 	is.Equal(sum.BackoffRequested, []fleet.EndpointID{"f"})
-	is.Equal(len(s.Heard(at)), 2)
+	is.Equal(len(s.Heartbeats(at)), 2)
 	is.Equal(arrivals(s.Sum(at, fleet.DemandReport{})), 0) // arrivals are passed on once
 	is.Equal(waiting(s.Sum(at, fleet.DemandReport{})), 3)  // waiting requests still count
-	is.True(!s.Add(at, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(9, 9, 0)}, fleet.Heard{}))
+	is.True(!s.Add(at, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(9, 9, 0)}, fleet.ControllerHeartbeat{}))
 }
 
 // Urgent changes are answered at once, other changes are spaced by the load of the relay, and
--- a/pkg/serve/attempt.go
+++ b/pkg/serve/attempt.go
@@ -63,7 +63,7 @@
 	if response.Load != nil {
 		s.Health.Load(s.Now(), e.ID, *response.Load)
 	}
-	if response.Verdict != Elsewhere {
+	if response.Verdict != WrongEndpoint {
 		s.Health.Signals.Observe(s.Now(), e.ID, response.Signals, start, response.Verdict == Answered)
 	}
 	if response.Verdict != Answered {
@@ -91,7 +91,7 @@
 	case NotHeld:
 		s.Health.NotHeld(now, e.ID, name, x.rejected)
 		x.result.Note = "endpoint does not hold " + name
-	case Elsewhere:
+	case WrongEndpoint:
 		s.Health.Suspect(now, e.ID)
 		x.avoid[e.ID] = Never
 		x.result.Note = "another endpoint has the address"
--- a/pkg/serve/rate_limit_test.go
+++ b/pkg/serve/rate_limit_test.go
@@ -99,7 +99,7 @@
 		is := is.New(t)
 		b := newFakeBackend("a")
 		s := newServer(b)
-		b.setScript("a", script{verdict: serve.Elsewhere, signals: signals.Response{Draining: true}})
+		b.setScript("a", script{verdict: serve.WrongEndpoint, signals: signals.Response{Draining: true}})
 		var out sink
 		s.Serve(context.Background(), request("r", fleet.Once, false), &out)
 		is.Equal(len(s.Health.Signals.Draining()), 0)
--- a/pkg/serve/request.go
+++ b/pkg/serve/request.go
@@ -78,8 +78,8 @@
 	// NotHeld means that the endpoint did not run the request because it does not have the
 	// model or adapter loaded.
 	NotHeld
-	// Elsewhere means that another endpoint has the address. The request did not run.
-	Elsewhere
+	// WrongEndpoint means that another endpoint has the address. The request did not run.
+	WrongEndpoint
 )
 
 // Answer is the response of an endpoint. Its body must be closed.
--- a/pkg/serve/serve_test.go
+++ b/pkg/serve/serve_test.go
@@ -279,7 +279,7 @@
 			var list []script
 			for range rapid.IntRange(0, 4).Draw(rt, id) {
 				list = append(list, script{
-					verdict: rapid.SampledFrom([]serve.Verdict{serve.Answered, serve.Answered, serve.Full, serve.NotHeld, serve.Elsewhere}).Draw(rt, "verdict"),
+					verdict: rapid.SampledFrom([]serve.Verdict{serve.Answered, serve.Answered, serve.Full, serve.NotHeld, serve.WrongEndpoint}).Draw(rt, "verdict"),
 					status:  rapid.SampledFrom([]int{200, 500}).Draw(rt, "status"),
 					notSent: rapid.IntRange(0, 5).Draw(rt, "not sent") == 0,
 					lost:    rapid.IntRange(0, 3).Draw(rt, "lost") == 0,
