--- a/pkg/emulator/dispatch.go
+++ b/pkg/emulator/dispatch.go
@@ -51,15 +51,15 @@
 // refuseUnlessHeld refuses a request that should not be held, and reports whether
 // it did. A request is retried after its first refusal.
 func (sim *simulation) refuseUnlessHeld(r *request) bool {
-	situation := serve.Situation{Now: sim.now, Known: true, FarUntil: sim.farUntil[r.model.name]}
+	situation := serve.Situation{Now: sim.now, HasEndpoints: true, ColdReadyAt: sim.coldReadyAt[r.model.name]}
 	for _, e := range sim.endpoints {
 		replica := e.loaded[r.model.name]
 		switch {
 		case replica == nil || replica.unloading:
 		case !replica.readyAt.After(sim.now):
 			situation.Ready = true
-		case situation.ComingAt.IsZero() || replica.readyAt.Before(situation.ComingAt):
-			situation.ComingAt = replica.readyAt
+		case situation.ReadyAt.IsZero() || replica.readyAt.Before(situation.ReadyAt):
+			situation.ReadyAt = replica.readyAt
 		}
 	}
 	_, retryAfter, hold := serve.Hold(r.Request, situation)
--- a/pkg/emulator/placement.go
+++ b/pkg/emulator/placement.go
@@ -25,9 +25,9 @@
 	}
 	storeSlots := residency.StoreSlots(snap.Endpoints, sim.scenario.Fleet.StoreSlots)
 	snap.Limits.StoreLoads = storeSlots - sim.storeLoads()
-	sim.farUntil = map[string]time.Time{}
-	for _, f := range residency.Far(snap, sim.storeLoads(), storeSlots) {
-		sim.farUntil[f.Model] = sim.now.Add(f.ReadyIn)
+	sim.coldReadyAt = map[string]time.Time{}
+	for _, f := range residency.ColdModels(snap, sim.storeLoads(), storeSlots) {
+		sim.coldReadyAt[f.Model] = sim.now.Add(f.ReadyIn)
 	}
 	for _, s := range sim.policy(snap) {
 		sim.startSwap(s)
--- a/pkg/emulator/simulation.go
+++ b/pkg/emulator/simulation.go
@@ -69,8 +69,8 @@
 	demand        *orders.Demand
 	arrivals      map[string]int
 	storeLoadEnds []time.Time
-	// farUntil maps models without a copy to the earliest time at which they can serve.
-	farUntil     map[string]time.Time
+	// coldReadyAt maps models without a copy to the earliest time at which they can serve.
+	coldReadyAt  map[string]time.Time
 	result       Result
 	replacements int
 }
--- a/pkg/fleet/bench_test.go
+++ b/pkg/fleet/bench_test.go
@@ -11,10 +11,10 @@
 // includes the index update after a new entry of an endpoint that holds the model.
 func BenchmarkLocate(b *testing.B) {
 	for _, n := range []int{18, 1000, 12000} {
-		board, _ := boardWithEndpoints(n)
+		locator, _ := locatorWithEndpoints(n)
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
 			for b.Loop() {
-				board.Locate(at(0), "s", "m7", "")
+				locator.Locate(at(0), "s", "m7", "")
 			}
 		})
 	}
@@ -22,7 +22,7 @@
 
 func BenchmarkIndex(b *testing.B) {
 	for _, n := range []int{18, 1000, 12000} {
-		board, d := boardWithEndpoints(n)
+		locator, d := locatorWithEndpoints(n)
 		e := endpoint("e6")
 		e.Holds = []fleet.Held{{Model: "m6"}, {Model: "m7"}}
 		offset := int64(n)
@@ -30,19 +30,19 @@
 			for b.Loop() {
 				offset++
 				d.Apply(at(0), offset, e)
-				board.Changed()
-				board.Locate(at(0), "s", "m7", "")
+				locator.MarkStale()
+				locator.Locate(at(0), "s", "m7", "")
 			}
 		})
 	}
 }
 
-func boardWithEndpoints(n int) (*fleet.Board, *fleet.Directory) {
+func locatorWithEndpoints(n int) (*fleet.Locator, *fleet.Directory) {
 	d := fleet.NewDirectory()
 	for i := range n {
 		e := endpoint(fmt.Sprint("e", i))
 		e.Holds = []fleet.Held{{Model: fmt.Sprint("m", i%310)}, {Model: fmt.Sprint("m", (i+1)%310)}}
 		d.Apply(at(0), int64(i), e)
 	}
-	return fleet.NewBoard(d), d
+	return fleet.NewLocator(d), d
 }
--- a/pkg/fleet/config.go
+++ b/pkg/fleet/config.go
@@ -141,10 +141,10 @@
 	return Account{}, r.Public
 }
 
-// Names reports whether the configuration contains a model of a service and, if adapter is
+// HasModel reports whether the configuration contains a model of a service and, if adapter is
 // set, whether the model has adapters. For a plain service
 // or an empty model it returns true.
-func (c *Config) Names(service, model, adapter string) bool {
+func (c *Config) HasModel(service, model, adapter string) bool {
 	engine := c.Services[service].Engine
 	if engine == nil || model == "" {
 		return true
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -104,27 +104,27 @@
 	})
 }
 
-func TestBoardFollowsNewestController(t *testing.T) {
+func TestLocatorFollowsNewestController(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	e := endpoint("a")
 	e.Holds = []fleet.Held{{Model: "listed"}}
 	d.Apply(at(0), 0, e)
-	b := fleet.NewBoard(d)
+	l := fleet.NewLocator(d)
 	ready := func(now time.Time, model, adapter string) int {
-		return len(b.Locate(now, "s", model, adapter).Ready)
+		return len(l.Locate(now, "s", model, adapter).Ready)
 	}
 	is.Equal(ready(at(0), "listed", ""), 1)
 	notice := func(token int64, m ...fleet.ModelPlacement) fleet.Notice {
 		return fleet.Notice{Token: token, Endpoints: []fleet.Placement{{Endpoint: "a", Models: m}}}
 	}
-	is.True(b.Notice(at(0), notice(2, fleet.ModelPlacement{Model: "told", ReadyIn: 500, Adapters: []string{"x"}})))
+	is.True(l.ApplyNotice(at(0), notice(2, fleet.ModelPlacement{Model: "told", ReadyIn: 500, Adapters: []string{"x"}})))
 	is.Equal(ready(at(0), "listed", ""), 0)
-	is.Equal(b.Locate(at(0), "s", "told", "").ComingAt, at(0.5))
+	is.Equal(l.Locate(at(0), "s", "told", "").ReadyAt, at(0.5))
 	is.Equal(ready(at(0.5), "told", "x"), 1)
 	is.Equal(ready(at(0.5), "told", "y"), 0)
 	// A previous controller may send notices for a short time after it has lost its claim.
-	is.True(!b.Notice(at(0.6), notice(1)))
+	is.True(!l.ApplyNotice(at(0.6), notice(1)))
 	is.Equal(ready(at(0.6), "told", ""), 1)
 	// The notices of a silent controller expire.
 	is.Equal(ready(at(9), "told", ""), 0)
@@ -189,7 +189,7 @@
 		{"llm", "nosuch", "", false},
 	} {
 		is := is.New(t)
-		is.Equal(c.Names(x.service, x.model, x.adapter), x.want)
+		is.Equal(c.HasModel(x.service, x.model, x.adapter), x.want)
 	}
 }
 
--- a/pkg/fleet/incarnation_test.go
+++ b/pkg/fleet/incarnation_test.go
@@ -18,9 +18,9 @@
 }
 
 // ready returns the endpoints that serve a model, or all endpoints if model is empty.
-func ready(b *fleet.Board, s float64, model string) []string {
+func ready(l *fleet.Locator, s float64, model string) []string {
 	out := []string{}
-	for _, e := range b.Locate(at(s), "s", model, "").Ready {
+	for _, e := range l.Locate(at(s), "s", model, "").Ready {
 		out = append(out, string(e.ID))
 	}
 	return out
@@ -30,14 +30,14 @@
 func TestRestartedEndpointServesUnderSameName(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
-	b := fleet.NewBoard(d)
+	l := fleet.NewLocator(d)
 	draining := incarnation("a", 100, "m")
 	draining.Draining = true
 	d.Apply(at(0), 1, draining)
 	d.Apply(at(1), 2, incarnation("a", 200, "n"))
-	b.Changed()
-	is.Equal(ready(b, 1, "n"), []string{"a@200"})
-	is.Equal(ready(b, 1, "m"), []string{}) // the models of the previous incarnation are gone
+	l.MarkStale()
+	is.Equal(ready(l, 1, "n"), []string{"a@200"})
+	is.Equal(ready(l, 1, "m"), []string{}) // the models of the previous incarnation are gone
 	is.Equal(ids(d.Live(at(1))), []fleet.EndpointID{"a@200"})
 }
 
@@ -46,16 +46,16 @@
 func TestLateHeartbeatOfPreviousIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
-	b := fleet.NewBoard(d)
+	l := fleet.NewLocator(d)
 	d.Apply(at(0), 1, incarnation("a", 100, "m"))
 	d.Apply(at(1), 2, incarnation("a", 200))
 	d.Apply(at(2), 3, incarnation("a", 100, "m"))
-	b.Changed()
-	is.Equal(ready(b, 2, "m"), []string{})
-	is.Equal(ready(b, 2, ""), []string{"a@200"})
+	l.MarkStale()
+	is.Equal(ready(l, 2, "m"), []string{})
+	is.Equal(ready(l, 2, ""), []string{"a@200"})
 	d.Remove(at(3), 4, "a") // entries are removed by name
-	b.Changed()
-	is.Equal(ready(b, 3, ""), []string{})
+	l.MarkStale()
+	is.Equal(ready(l, 3, ""), []string{})
 	is.Equal(ids(d.Live(at(3))), []fleet.EndpointID{})
 }
 
@@ -70,18 +70,18 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := fleet.NewDirectory()
-			b := fleet.NewBoard(d)
+			l := fleet.NewLocator(d)
 			d.Apply(at(0), 1, incarnation("a", 100, "m"))
 			d.Apply(at(0), 2, incarnation("b", 100, "m"))
 			before := d.Material()
 			d.Apply(at(1), 3, e)
-			b.Changed()
-			is.Equal(ready(b, 1, "m"), []string{"b@100"})                      // other endpoints are not affected
+			l.MarkStale()
+			is.Equal(ready(l, 1, "m"), []string{"b@100"})                      // other endpoints are not affected
 			is.Equal(ids(d.Live(at(1))), []fleet.EndpointID{"a@100", "b@100"}) // its requests continue
 			is.True(d.Material() > before)                                     // other hosts must learn of the change
 			d.Apply(at(2), 4, incarnation("a", 100, "m"))
-			b.Changed()
-			is.Equal(len(ready(b, 2, "m")), 2)
+			l.MarkStale()
+			is.Equal(len(ready(l, 2, "m")), 2)
 		})
 	}
 }
--- a/pkg/fleet/board.go
+++ b/pkg/fleet/locator.go
@@ -15,9 +15,9 @@
 	maxIndexAge = 250 * time.Millisecond
 )
 
-// Board combines the endpoint list with the controller's notices. It is safe for concurrent
+// Locator combines the endpoint list with the controller's notices. It is safe for concurrent
 // use.
-type Board struct {
+type Locator struct {
 	directory *Directory
 
 	mu sync.Mutex
@@ -52,71 +52,71 @@
 // ModelRef identifies a model of a service.
 type ModelRef struct{ Service, Model string }
 
-// NewBoard returns a board for a directory.
-func NewBoard(d *Directory) *Board {
-	return &Board{directory: d, placements: map[EndpointID]map[string]modelState{}, versions: map[EndpointID]int64{}, index: newIndex()}
+// NewLocator returns a locator for a directory.
+func NewLocator(d *Directory) *Locator {
+	return &Locator{directory: d, placements: map[EndpointID]map[string]modelState{}, versions: map[EndpointID]int64{}, index: newIndex()}
 }
 
-// Changed marks the index as stale after a change of the directory.
-func (b *Board) Changed() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.stale = true
+// MarkStale marks the index as stale after a change of the directory.
+func (l *Locator) MarkStale() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.stale = true
 }
 
-// Notice applies a notice. It reports whether the notice belongs to the newest known claim;
+// ApplyNotice applies a notice. It reports whether the notice belongs to the newest known claim;
 // older notices are ignored.
-func (b *Board) Notice(now time.Time, n Notice) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if n.Token < b.controller.Token {
+func (l *Locator) ApplyNotice(now time.Time, n Notice) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if n.Token < l.controller.Token {
 		return false
 	}
-	if n.Token > b.controller.Token || n.Full {
-		b.dropUnnamed(n)
+	if n.Token > l.controller.Token || n.Full {
+		l.dropUnnamed(n)
 	}
-	b.controller = Notice{Holder: n.Holder, Token: n.Token, Incarnation: n.Incarnation, Addr: n.Addr, StoreLoadLimit: n.StoreLoadLimit}
-	b.heartbeatAt = now.Add(-time.Duration(n.HeartbeatAge) * time.Millisecond)
+	l.controller = Notice{Holder: n.Holder, Token: n.Token, Incarnation: n.Incarnation, Addr: n.Addr, StoreLoadLimit: n.StoreLoadLimit}
+	l.heartbeatAt = now.Add(-time.Duration(n.HeartbeatAge) * time.Millisecond)
 	for _, p := range n.Endpoints {
-		b.setPlacement(p.Endpoint, modelStates(now, p))
+		l.setPlacement(p.Endpoint, modelStates(now, p))
 	}
-	if !n.FarKnown {
-		b.setCold(now, n.Far)
+	if !n.ColdUnchanged {
+		l.setCold(now, n.Cold)
 	}
-	b.stale = true // The controller may have become trusted again.
+	l.stale = true // The controller may have become trusted again.
 	return true
 }
 
 // dropUnnamed drops the placements that a full notice does not name, and all placements if the
 // notice belongs to a newer claim.
-func (b *Board) dropUnnamed(n Notice) {
+func (l *Locator) dropUnnamed(n Notice) {
 	named := make(map[EndpointID]bool, len(n.Endpoints))
 	for _, p := range n.Endpoints {
-		named[p.Endpoint] = n.Token == b.controller.Token
+		named[p.Endpoint] = n.Token == l.controller.Token
 	}
-	for id := range b.placements {
+	for id := range l.placements {
 		if !named[id] {
-			delete(b.placements, id)
-			b.markChanged(id)
+			delete(l.placements, id)
+			l.markChanged(id)
 		}
 	}
 }
 
 // setPlacement replaces the models of an endpoint. An unchanged placement keeps its version,
 // so that it is not sent to other hosts again.
-func (b *Board) setPlacement(id EndpointID, models map[string]modelState) {
-	old, known := b.placements[id]
+func (l *Locator) setPlacement(id EndpointID, models map[string]modelState) {
+	old, known := l.placements[id]
 	if known && sameModels(old, models) {
 		return
 	}
-	b.placements[id] = models
-	b.markChanged(id)
+	l.placements[id] = models
+	l.markChanged(id)
 }
 
-func (b *Board) markChanged(id EndpointID) {
-	b.version++
-	b.versions[id] = b.version
-	b.index.markDirty(id)
+func (l *Locator) markChanged(id EndpointID) {
+	l.version++
+	l.versions[id] = l.version
+	l.index.markDirty(id)
 }
 
 // timeTolerance is the difference below which two ready times count as equal. Ready times are
@@ -140,21 +140,21 @@
 }
 
 // setCold replaces the set of models that must be loaded from the weight store.
-func (b *Board) setCold(now time.Time, models []FarModel) {
+func (l *Locator) setCold(now time.Time, models []ColdModel) {
 	cold := make(map[ModelRef]time.Time, len(models))
-	same := len(models) == len(b.coldReadyAt)
+	same := len(models) == len(l.coldReadyAt)
 	for _, f := range models {
 		ref := ModelRef{f.Service, f.Model}
 		cold[ref] = now.Add(time.Duration(f.ReadyIn) * time.Millisecond)
-		old, known := b.coldReadyAt[ref]
+		old, known := l.coldReadyAt[ref]
 		same = same && known && cold[ref].Sub(old).Abs() <= timeTolerance
 	}
 	if same {
 		return
 	}
-	b.coldReadyAt = cold
-	b.version++
-	b.coldVersion = b.version
+	l.coldReadyAt = cold
+	l.version++
+	l.coldVersion = l.version
 }
 
 func modelStates(now time.Time, p Placement) map[string]modelState {
@@ -174,75 +174,75 @@
 
 // StoreLoadLimit returns how many loads from the weight store can run at full speed, as last
 // reported by the controller; 0 if unknown.
-func (b *Board) StoreLoadLimit() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.controller.StoreLoadLimit
+func (l *Locator) StoreLoadLimit() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.controller.StoreLoadLimit
 }
 
 // Token returns the fencing token of the newest claim seen in a notice.
-func (b *Board) Token() int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.controller.Token
+func (l *Locator) Token() int64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.controller.Token
 }
 
 // Location lists where a model or an adapter is available.
 type Location struct {
 	// Ready lists the endpoints that serve the model or adapter.
 	Ready []Endpoint
-	// ComingAt is when the next endpoint becomes ready; zero if none is loading.
-	ComingAt time.Time
-	// FarUntil is the earliest time at which a model without a copy on any endpoint can serve;
+	// ReadyAt is when the next endpoint becomes ready; zero if none is loading.
+	ReadyAt time.Time
+	// ColdReadyAt is the earliest time at which a model without a copy on any endpoint can serve;
 	// zero if the model has a copy or the time is not known.
-	FarUntil time.Time
-	// Known reports whether any endpoint of the service takes requests.
-	Known bool
+	ColdReadyAt time.Time
+	// HasEndpoints reports whether any endpoint of the service takes requests.
+	HasEndpoints bool
 }
 
 // Locate returns the location of a model, or of one of its adapters if adapter is set. An
 // empty model selects all endpoints of a plain service.
-func (b *Board) Locate(now time.Time, service, model, adapter string) Location {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.stale || now.Sub(b.indexedAt) > maxIndexAge {
-		b.refresh(now)
+func (l *Locator) Locate(now time.Time, service, model, adapter string) Location {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.stale || now.Sub(l.indexedAt) > maxIndexAge {
+		l.refresh(now)
 	}
-	l := Location{Known: b.index.serves(service)}
+	loc := Location{HasEndpoints: l.index.serves(service)}
 	if model == "" {
-		l.Ready = b.index.endpoints(service)
-		return l
+		loc.Ready = l.index.endpoints(service)
+		return loc
 	}
-	if now.Sub(b.heartbeatAt) < controllerTimeout {
-		l.FarUntil = b.coldReadyAt[ModelRef{service, model}]
+	if now.Sub(l.heartbeatAt) < controllerTimeout {
+		loc.ColdReadyAt = l.coldReadyAt[ModelRef{service, model}]
 	}
-	for _, r := range b.index.holders(ModelRef{service, model}) {
+	for _, r := range l.index.holders(ModelRef{service, model}) {
 		switch {
 		case r.unloading || adapter != "" && !r.adapters[adapter]:
 		case r.readyAt.After(now):
-			if l.ComingAt.IsZero() || r.readyAt.Before(l.ComingAt) {
-				l.ComingAt = r.readyAt
+			if loc.ReadyAt.IsZero() || r.readyAt.Before(loc.ReadyAt) {
+				loc.ReadyAt = r.readyAt
 			}
 		default:
-			l.Ready = append(l.Ready, r.endpoint)
+			loc.Ready = append(loc.Ready, r.endpoint)
 		}
 	}
-	return l
+	return loc
 }
 
 // refresh applies changes of the list and the notices to the index. It must be called with mu
 // held.
-func (b *Board) refresh(now time.Time) {
-	b.stale = false
-	b.indexedAt = now
-	if trusted := now.Sub(b.heartbeatAt) < controllerTimeout; trusted != b.index.useNotices {
-		b.index.useNotices = trusted
-		b.index.markAllDirty()
+func (l *Locator) refresh(now time.Time) {
+	l.stale = false
+	l.indexedAt = now
+	if trusted := now.Sub(l.heartbeatAt) < controllerTimeout; trusted != l.index.useNotices {
+		l.index.useNotices = trusted
+		l.index.markAllDirty()
 	}
-	for _, c := range b.directory.takeChanges(now) {
-		b.index.applyChange(c)
+	for _, c := range l.directory.takeChanges(now) {
+		l.index.applyChange(c)
 	}
-	b.index.update(b.placements)
+	l.index.update(l.placements)
 }
 
 func listedModels(e Endpoint) map[string]modelState {
--- a/pkg/fleet/board_changes.go
+++ b/pkg/fleet/locator_changes.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Answer returns a notice with the changes since the last one that the requesting host has
+// ChangesSince returns a notice with the changes since the last one that the requesting host has
 // applied. The notice is full if that one came from another host or belongs to another claim.
 // The caller adds the list entries.
-func (b *Board) Answer(now time.Time, source string, p Pull) Notice {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := b.controller
+func (l *Locator) ChangesSince(now time.Time, source string, p Pull) Notice {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	n := l.controller
 	n.Source = source
-	n.Version = b.version
-	since := b.knownVersion(source, p)
+	n.Version = l.version
+	since := l.knownVersion(source, p)
 	n.Full = since == 0
-	n.HeartbeatAge = now.Sub(b.heartbeatAt).Milliseconds()
-	for id, models := range b.placements {
-		if n.Full || b.versions[id] > since {
+	n.HeartbeatAge = now.Sub(l.heartbeatAt).Milliseconds()
+	for id, models := range l.placements {
+		if n.Full || l.versions[id] > since {
 			n.Endpoints = append(n.Endpoints, newPlacement(now, id, models))
 		}
 	}
 	if !n.Full {
-		n.Endpoints = append(n.Endpoints, b.removedSince(since)...)
+		n.Endpoints = append(n.Endpoints, l.removedSince(since)...)
 	}
-	n.FarKnown = !n.Full && b.coldVersion <= since
-	if !n.FarKnown {
-		n.Far = b.coldModels(now)
+	n.ColdUnchanged = !n.Full && l.coldVersion <= since
+	if !n.ColdUnchanged {
+		n.Cold = l.coldModels(now)
 	}
 	return n
 }
 
-// knownVersion returns the version of this board that the requesting host knows, or 0 if none.
-func (b *Board) knownVersion(source string, p Pull) int64 {
-	if p.Source != source || p.Token != b.controller.Token {
+// knownVersion returns the version of this locator that the requesting host knows, or 0 if none.
+func (l *Locator) knownVersion(source string, p Pull) int64 {
+	if p.Source != source || p.Token != l.controller.Token {
 		return 0
 	}
 	return p.Version
@@ -39,10 +39,10 @@
 
 // removedSince returns empty placements for the endpoints that the controller has stopped
 // listing since a version.
-func (b *Board) removedSince(since int64) []Placement {
+func (l *Locator) removedSince(since int64) []Placement {
 	var out []Placement
-	for id, v := range b.versions {
-		if _, named := b.placements[id]; v > since && !named {
+	for id, v := range l.versions {
+		if _, named := l.placements[id]; v > since && !named {
 			out = append(out, Placement{Endpoint: id})
 		}
 	}
@@ -51,23 +51,23 @@
 
 // ChangedFor reports whether there are changes for a host, and whether they are urgent because
 // they concern a model with waiting requests there.
-func (b *Board) ChangedFor(source string, p Pull, waiting map[ModelRef]bool) (changed, urgent bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	since := b.knownVersion(source, p)
-	if since == b.version {
+func (l *Locator) ChangedFor(source string, p Pull, waiting map[ModelRef]bool) (changed, urgent bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	since := l.knownVersion(source, p)
+	if since == l.version {
 		return false, false
 	}
 	if since == 0 {
 		return true, true
 	}
 	for ref := range waiting {
-		if b.coldVersion > since && !b.coldReadyAt[ref].IsZero() {
+		if l.coldVersion > since && !l.coldReadyAt[ref].IsZero() {
 			return true, true
 		}
 	}
-	for id, models := range b.placements {
-		if b.versions[id] > since && holdsAny(b.directory.serviceOf(id), models, waiting) {
+	for id, models := range l.placements {
+		if l.versions[id] > since && holdsAny(l.directory.serviceOf(id), models, waiting) {
 			return true, true
 		}
 	}
@@ -99,10 +99,10 @@
 	return p
 }
 
-func (b *Board) coldModels(now time.Time) []FarModel {
-	out := make([]FarModel, 0, len(b.coldReadyAt))
-	for ref, at := range b.coldReadyAt {
-		out = append(out, FarModel{Service: ref.Service, Model: ref.Model, ReadyIn: max(1, at.Sub(now).Milliseconds())})
+func (l *Locator) coldModels(now time.Time) []ColdModel {
+	out := make([]ColdModel, 0, len(l.coldReadyAt))
+	for ref, at := range l.coldReadyAt {
+		out = append(out, ColdModel{Service: ref.Service, Model: ref.Model, ReadyIn: max(1, at.Sub(now).Milliseconds())})
 	}
 	return out
 }
--- a/pkg/fleet/board_test.go
+++ b/pkg/fleet/locator_test.go
@@ -13,7 +13,7 @@
 // controllerTimeout is how long the notices of a silent controller are used.
 const controllerTimeout = 3 * time.Second
 
-// reference is a board without an index; it evaluates all entries and notices on each call.
+// reference is a locator without an index; it evaluates all entries and notices on each call.
 type reference struct {
 	directory  *fleet.Directory
 	token      int64
@@ -58,12 +58,12 @@
 }
 
 // Guards against a stale index, which sends requests to a draining endpoint or misses one that
-// holds the model. After any sequence of events the board must agree with the reference.
+// holds the model. After any sequence of events the locator must agree with the reference.
 func TestIncrementalIndexMatchesReference(t *testing.T) {
 	models := []string{"m0", "m1", "m2"}
 	rapid.Check(t, func(t *rapid.T) {
 		d := fleet.NewDirectory()
-		b := fleet.NewBoard(d)
+		l := fleet.NewLocator(d)
 		r := &reference{directory: d, placements: map[fleet.EndpointID]fleet.Placement{}}
 		now := at(0)
 		offset := int64(0)
@@ -79,12 +79,12 @@
 				e.Draining = rapid.IntRange(0, 5).Draw(t, "draining") == 0
 				e.Holds = []fleet.Held{{Model: model()}}
 				d.Apply(now, offset, e)
-				b.Changed()
+				l.MarkStale()
 			},
 			"remove": func(t *rapid.T) {
 				offset++
 				d.Remove(now, offset, id())
-				b.Changed()
+				l.MarkStale()
 			},
 			"notice": func(t *rapid.T) {
 				n := fleet.Notice{Token: int64(rapid.IntRange(1, 3).Draw(t, "token")), Full: rapid.Bool().Draw(t, "full")}
@@ -94,7 +94,7 @@
 						Models:   []fleet.ModelPlacement{{Model: model(), Unloading: rapid.Bool().Draw(t, "leaving")}},
 					})
 				}
-				b.Notice(now, n)
+				l.ApplyNotice(now, n)
 				r.notice(now, n)
 			},
 			"store": func(t *rapid.T) { d.StoreState(now, rapid.Bool().Draw(t, "answers")) },
@@ -106,7 +106,7 @@
 				for _, service := range []string{"s", "t"} {
 					for _, m := range append([]string{""}, models...) {
 						got := []string{}
-						for _, e := range b.Locate(now, service, m, "").Ready {
+						for _, e := range l.Locate(now, service, m, "").Ready {
 							got = append(got, string(e.ID))
 						}
 						slices.Sort(got)
--- a/pkg/fleet/messages.go
+++ b/pkg/fleet/messages.go
@@ -28,10 +28,10 @@
 	// StoreBackAgo is the time in milliseconds since the controller saw the end of a store
 	// outage; 0 if there was none recently.
 	StoreBackAgo int64 `cbor:"13,keyasint,omitempty"`
-	// Far lists all requested models without a copy on any endpoint. It is omitted if the
-	// receiver already knows the list (FarKnown).
-	Far      []FarModel `cbor:"10,keyasint,omitempty"`
-	FarKnown bool       `cbor:"14,keyasint,omitempty"`
+	// Cold lists all requested models without a copy on any endpoint. It is omitted if the
+	// receiver already knows the list (ColdUnchanged).
+	Cold          []ColdModel `cbor:"10,keyasint,omitempty"`
+	ColdUnchanged bool        `cbor:"14,keyasint,omitempty"`
 	// StoreLoadLimit is how many loads from the weight store can run at full speed, as learned by
 	// the controller.
 	StoreLoadLimit int `cbor:"21,keyasint,omitempty"`
@@ -107,9 +107,9 @@
 	StoreAge int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// FarModel is a model without a copy on any endpoint, which must be loaded from the weight
+// ColdModel is a model without a copy on any endpoint, which must be loaded from the weight
 // store.
-type FarModel struct {
+type ColdModel struct {
 	Service string `cbor:"1,keyasint"`
 	Model   string `cbor:"2,keyasint"`
 	// ReadyIn is the minimum time in milliseconds until the model can serve.
@@ -177,9 +177,9 @@
 	// InTime is the number of waiting requests that can still meet their objective. If it is
 	// not 0, DueIn refers to these requests only.
 	InTime int `cbor:"9,keyasint,omitempty"`
-	// Starting is the total time in milliseconds that requests have waited at endpoints for
+	// FirstByteWait is the total time in milliseconds that requests have waited at endpoints for
 	// the first part of their response since the last report.
-	Starting int64 `cbor:"10,keyasint,omitempty"`
+	FirstByteWait int64 `cbor:"10,keyasint,omitempty"`
 }
 
 // Add returns the sum of two reports of the same need.
@@ -192,7 +192,7 @@
 	n.InTime += o.InTime
 	n.Inflight += o.Inflight
 	n.Arrived += o.Arrived
-	n.Starting += o.Starting
+	n.FirstByteWait += o.FirstByteWait
 	return n
 }
 
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -120,7 +120,7 @@
 	spacing := relay.Spacing(g.children.count(), g.settings.cores())
 	pace := relay.Question{Asked: now, Answered: ch.responded}
 	for {
-		changed, urgent := g.board.ChangedFor(g.self.Incarnation, p, ch.waiting)
+		changed, urgent := g.locator.ChangedFor(g.self.Incarnation, p, ch.waiting)
 		urgent = urgent || g.currentVersions().anyNewerThan(ch.sent)
 		remaining := pace.Answer(changed, urgent, spacing).Sub(g.Now())
 		if remaining <= 0 {
@@ -140,7 +140,7 @@
 	}
 	now = g.Now()
 	g.children.responded(ch, now, g.currentVersions())
-	n := g.withListChanges(now, g.board.Answer(now, g.self.Incarnation, p), p.ListNext-1, g.directory.Material())
+	n := g.withListChanges(now, g.locator.ChangesSince(now, g.self.Incarnation, p), p.ListNext-1, g.directory.Material())
 	n.Stamp = g.stampFor(now, n.Token)
 	n.BlocksChecksum, n.Blocks = g.blocks.forResponse(now, p.BlocksChecksum)
 	n.SignalsChecksum, n.Signals = g.signals.forResponse(now, p.SignalsChecksum)
@@ -197,7 +197,7 @@
 		if n.Waiting == 0 {
 			continue
 		}
-		if at := g.board.Locate(now, n.Service, n.Model, n.Adapter); len(at.Ready) == 0 && at.ComingAt.IsZero() {
+		if at := g.locator.Locate(now, n.Service, n.Model, n.Adapter); len(at.Ready) == 0 && at.ReadyAt.IsZero() {
 			return true
 		}
 	}
--- a/pkg/gateway/control.go
+++ b/pkg/gateway/control.go
@@ -131,7 +131,7 @@
 func (g *Gateway) publish(n fleet.Notice) {
 	n.Incarnation = g.self.Incarnation
 	n.Addr = g.self.Addr
-	g.board.Notice(g.Now(), n)
+	g.locator.ApplyNotice(g.Now(), n)
 	g.dispatcher.Kick()
 	g.children.wake()
 }
--- a/pkg/gateway/follow.go
+++ b/pkg/gateway/follow.go
@@ -271,7 +271,7 @@
 	for _, id := range g.health.Signals.Draining() {
 		g.directory.MarkDraining(id)
 	}
-	g.board.Changed()
+	g.locator.MarkStale()
 	g.dispatcher.Kick()
 	trySend(g.stepNow)
 	g.children.wake()
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -82,7 +82,7 @@
 	cache      *entryCache
 	storeReads *follow.State
 	directory  *fleet.Directory
-	board      *fleet.Board
+	locator    *fleet.Locator
 
 	health     *serve.Health
 	dispatcher *serve.Dispatcher
@@ -161,10 +161,10 @@
 	g.store = calls
 	g.self = orders.Holder{Host: s.Host, Incarnation: uuid.Must(uuid.NewV7()).String()}
 	g.log = cfg.Logger.With("host", s.Host, "incarnation", g.self.Incarnation)
-	g.board = fleet.NewBoard(g.directory)
+	g.locator = fleet.NewLocator(g.directory)
 	g.health.Signals.Changed = g.signalChanged
 	g.endpoints = rateLimitedEndpoints{cfg.Endpoints(g.Now, g.connectionLimit), g.allowCall}
-	g.dispatcher = serve.NewDispatcher(s.Zone, locator{g.board, g.config.Load}, g.health, g.Now, g.requestReport)
+	g.dispatcher = serve.NewDispatcher(s.Zone, locator{g.locator, g.config.Load}, g.health, g.Now, g.requestReport)
 	g.server = &serve.Server{
 		Backend: g.endpoints,
 		Queue:   g.dispatcher,
@@ -194,7 +194,7 @@
 
 		Throttled: func(id fleet.EndpointID) bool { return g.health.Signals.Throttled(g.Now(), id) },
 
-		FormerStoreLoadLimit: g.board.StoreLoadLimit,
+		FormerStoreLoadLimit: g.locator.StoreLoadLimit,
 	}
 	g.handler = cfg.Door(g)
 	return g, nil
@@ -253,20 +253,20 @@
 
 // locator tells the dispatcher where models are placed.
 type locator struct {
-	board  *fleet.Board
-	config func() *fleet.Config
+	locator *fleet.Locator
+	config  func() *fleet.Config
 }
 
 // Find implements serve.Placement.
 func (l locator) Find(now time.Time, n serve.Need) serve.Found {
-	at := l.board.Locate(now, n.Service, n.Model, n.Adapter)
+	at := l.locator.Locate(now, n.Service, n.Model, n.Adapter)
 	c := l.config()
 	return serve.Found{
-		Ready:    at.Ready,
-		ComingAt: at.ComingAt,
-		FarUntil: at.FarUntil,
-		Known:    at.Known,
-		Unnamed:  c != nil && !c.Names(n.Service, n.Model, n.Adapter),
+		Ready:         at.Ready,
+		ReadyAt:       at.ReadyAt,
+		ColdReadyAt:   at.ColdReadyAt,
+		HasEndpoints:  at.HasEndpoints,
+		NotConfigured: c != nil && !c.HasModel(n.Service, n.Model, n.Adapter),
 	}
 }
 
--- a/pkg/gateway/listconfirm_test.go
+++ b/pkg/gateway/listconfirm_test.go
@@ -48,9 +48,9 @@
 		Log:               g.log,
 	})
 	g.settings.Timing.Drain = drain
-	g.board = fleet.NewBoard(g.directory)
+	g.locator = fleet.NewLocator(g.directory)
 	g.health = serve.NewHealth()
-	g.dispatcher = serve.NewDispatcher("z", locator{g.board, g.config.Load}, g.health, g.Now, func() {})
+	g.dispatcher = serve.NewDispatcher("z", locator{g.locator, g.config.Load}, g.health, g.Now, func() {})
 	g.initReplicatedSets()
 	return g
 }
--- a/pkg/gateway/pull.go
+++ b/pkg/gateway/pull.go
@@ -237,15 +237,15 @@
 	}
 	for _, d := range g.dispatcher.Demand() {
 		n := fleet.NeedReport{
-			Service:  d.Service,
-			Model:    d.Model,
-			Adapter:  d.Adapter,
-			Waiting:  d.Waiting,
-			InTime:   d.InTime,
-			Inflight: d.Inflight,
-			Arrived:  d.Arrived,
-			Starting: d.Starting.Milliseconds(),
-			Priority: d.Priority,
+			Service:       d.Service,
+			Model:         d.Model,
+			Adapter:       d.Adapter,
+			Waiting:       d.Waiting,
+			InTime:        d.InTime,
+			Inflight:      d.Inflight,
+			Arrived:       d.Arrived,
+			FirstByteWait: d.FirstByteWait.Milliseconds(),
+			Priority:      d.Priority,
 		}
 		if d.Waiting > 0 {
 			n.DueIn = d.Due.Sub(now).Milliseconds()
--- a/pkg/gateway/relay_test.go
+++ b/pkg/gateway/relay_test.go
@@ -38,7 +38,7 @@
 }
 
 func noticeWithModel(model string) fleet.Notice {
-	return fleet.Notice{Token: 1, FarKnown: true, Endpoints: []fleet.Placement{{
+	return fleet.Notice{Token: 1, ColdUnchanged: true, Endpoints: []fleet.Placement{{
 		Endpoint: "e",
 		Models:   []fleet.ModelPlacement{{Model: model, ReadyIn: 700}},
 	}}}
@@ -60,7 +60,7 @@
 				is := is.New(t)
 				g := relayHost()
 				g.directory.Apply(g.Now(), 0, fleet.Endpoint{ID: "e", Service: "s"})
-				g.board.Notice(g.Now(), noticeWithModel("old"))
+				g.locator.ApplyNotice(g.Now(), noticeWithModel("old"))
 				p := pullFrom("h", 1, c.waitsFor)
 				p.ListNext = 1
 				g.children.responded(g.children.register(p.Demand), g.Now().Add(100*time.Millisecond), g.currentVersions())
@@ -72,7 +72,7 @@
 				}()
 				time.Sleep(100 * time.Millisecond)
 				if c.placed != "" {
-					g.board.Notice(g.Now(), noticeWithModel(c.placed))
+					g.locator.ApplyNotice(g.Now(), noticeWithModel(c.placed))
 					g.children.wake()
 				}
 				is.Equal(<-done, c.after)
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := relayHost()
-		g.board.Notice(g.Now(), noticeWithModel("old"))
+		g.locator.ApplyNotice(g.Now(), noticeWithModel("old"))
 		g.children.responded(g.children.register(fleet.DemandReport{Host: "h"}), g.Now(), g.currentVersions())
 		previous := make(chan *fleet.Notice)
 		go func() { previous <- g.answerPull(pullFrom("h", 1, "")) }()
--- a/pkg/gateway/serving.go
+++ b/pkg/gateway/serving.go
@@ -92,7 +92,7 @@
 
 // logResult logs the result of a request.
 func (g *Gateway) logResult(r serve.Result) {
-	g.log.Info("request", append(r.LogAttrs(), "config", g.configVersion(), "claim", g.board.Token())...)
+	g.log.Info("request", append(r.LogAttrs(), "config", g.configVersion(), "claim", g.locator.Token())...)
 }
 
 // clientServer returns the server of client requests.
--- a/pkg/keepalive/bench_test.go
+++ b/pkg/keepalive/bench_test.go
@@ -86,8 +86,8 @@
 		gap := s.arrivals[i] - s.arrivals[i-1]
 		o.idle += idleTime(plan, gap)
 		wait := s.load
-		if plan.Keep >= gap || plan.Ahead(gap) {
-			wait = max(0, s.load-max(gap-plan.WakeAt, 0))
+		if plan.Keep >= gap || plan.Preload(gap) {
+			wait = max(0, s.load-max(gap-plan.PreloadAt, 0))
 			if plan.Keep >= gap {
 				wait = 0
 			}
@@ -104,8 +104,8 @@
 // preloading.
 func idleTime(p keepalive.Plan, gap time.Duration) time.Duration {
 	idle := min(gap, p.Keep)
-	if p.WakeUntil > 0 {
-		idle += max(0, min(gap, p.WakeUntil)-max(p.WakeAt, p.Keep))
+	if p.PreloadUntil > 0 {
+		idle += max(0, min(gap, p.PreloadUntil)-max(p.PreloadAt, p.Keep))
 	}
 	return idle
 }
--- a/pkg/keepalive/keepalive.go
+++ b/pkg/keepalive/keepalive.go
@@ -67,23 +67,23 @@
 	return time.Duration(float64(firstBucket) * math.Pow(2, float64(i)/bucketsPerDouble))
 }
 
-// Plan says when a model is loaded after its last request: until Keep, and again from WakeAt
-// until WakeUntil if WakeUntil is not zero.
+// Plan says when a model is loaded after its last request: until Keep, and again from PreloadAt
+// until PreloadUntil if PreloadUntil is not zero.
 type Plan struct {
-	Keep      time.Duration
-	WakeAt    time.Duration
-	WakeUntil time.Duration
+	Keep         time.Duration
+	PreloadAt    time.Duration
+	PreloadUntil time.Duration
 }
 
 // Loaded reports whether the model should be loaded after it has been idle for the given time.
 func (p Plan) Loaded(idle time.Duration) bool {
-	return idle <= p.Keep || p.Ahead(idle)
+	return idle <= p.Keep || p.Preload(idle)
 }
 
-// Ahead reports whether the model should be preloaded after it has been idle for the given
+// Preload reports whether the model should be preloaded after it has been idle for the given
 // time.
-func (p Plan) Ahead(idle time.Duration) bool {
-	return p.WakeUntil > 0 && idle >= p.WakeAt && idle <= p.WakeUntil
+func (p Plan) Preload(idle time.Duration) bool {
+	return p.PreloadUntil > 0 && idle >= p.PreloadAt && idle <= p.PreloadUntil
 }
 
 // Choose returns the plan that would have cost least over the observed gaps. With too few
@@ -107,8 +107,8 @@
 			}
 			bestCost = cost
 			// The load must complete before the window starts.
-			wake := max(0, t.bucketEnd(from)-c.Load)
-			best = Plan{WakeAt: wake, WakeUntil: t.bucketEnd(until)}
+			preloadAt := max(0, t.bucketEnd(from)-c.Load)
+			best = Plan{PreloadAt: preloadAt, PreloadUntil: t.bucketEnd(until)}
 		}
 	}
 	return best
--- a/pkg/keepalive/keepalive_test.go
+++ b/pkg/keepalive/keepalive_test.go
@@ -27,9 +27,9 @@
 		g.Observe(time.Hour)
 	}
 	p := g.Choose(costs, time.Minute)
-	is.True(p.Ahead(time.Hour))
+	is.True(p.Preload(time.Hour))
 	is.True(!p.Loaded(20 * time.Minute))
-	is.True(p.WakeAt < time.Hour-costs.Load)
+	is.True(p.PreloadAt < time.Hour-costs.Load)
 }
 
 // A model that is used in sessions must stay loaded during a session only.
@@ -61,7 +61,7 @@
 			Load:            time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "load")),
 		}
 		p := g.Choose(c, time.Minute)
-		if p.Keep < 0 || p.WakeAt < 0 || p.WakeUntil > 0 && p.WakeUntil <= p.WakeAt {
+		if p.Keep < 0 || p.PreloadAt < 0 || p.PreloadUntil > 0 && p.PreloadUntil <= p.PreloadAt {
 			t.Fatalf("plan is not well formed: %+v", p)
 		}
 		if p != g.Choose(c, time.Minute) {
--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -73,8 +73,8 @@
 	token    int64
 	trackers map[fleet.EndpointID]*endpointTracker
 	demand   *Demand
-	// farModels are the requested models that no endpoint has a copy of.
-	farModels []fleet.FarModel
+	// coldModels are the requested models that no endpoint has a copy of.
+	coldModels []fleet.ColdModel
 	// storeLimit limits concurrent loads from the weight store.
 	storeLimit      loadLimiter
 	unansweredLoads unansweredLoads
@@ -123,7 +123,7 @@
 	byService := c.syncTrackers(now, cfg)
 	if token := c.Election.Token(now); token != 0 && c.OrdersAllowed() {
 		totals := c.demand.totals(now)
-		c.farModels = nil
+		c.coldModels = nil
 		for _, name := range sortedKeys(byService) {
 			service := cfg.Services[name]
 			c.requestReports(ctx, now, byService[name])
@@ -177,7 +177,7 @@
 }
 
 func (c *Controller) buildNotice(now time.Time, token, version int64, full bool) *fleet.Notice {
-	n := &fleet.Notice{StoreLoadLimit: c.storeLimit.allowed(), Far: c.farModels, Holder: c.Election.self.Host, Token: token, Full: full, ConfigVersion: version}
+	n := &fleet.Notice{StoreLoadLimit: c.storeLimit.allowed(), Cold: c.coldModels, Holder: c.Election.self.Host, Token: token, Full: full, ConfigVersion: version}
 	for _, t := range c.trackers {
 		if t.takeChanged() || full {
 			n.Endpoints = append(n.Endpoints, t.placement(now))
@@ -255,8 +255,8 @@
 	slots := residency.StoreSlots(snap.Endpoints, min(c.storeLimit.allowed(), max(1, int(engine.LoadsPerSecond))))
 	loading := c.storeLimit.inProgress(now)
 	snap.Limits.StoreLoads = slots - loading
-	for _, f := range residency.Far(snap, loading, slots) {
-		c.farModels = append(c.farModels, fleet.FarModel{Service: service.Name, Model: f.Model, ReadyIn: f.ReadyIn.Milliseconds()})
+	for _, f := range residency.ColdModels(snap, loading, slots) {
+		c.coldModels = append(c.coldModels, fleet.ColdModel{Service: service.Name, Model: f.Model, ReadyIn: f.ReadyIn.Milliseconds()})
 	}
 	for _, s := range residency.Decide(snap) {
 		t := byID[s.Endpoint]
@@ -296,9 +296,9 @@
 		r.Waiting += d.waiting
 		r.InTime += d.inTime
 		r.Inflight += d.inflight
-		r.Rate += d.fast
-		r.Slow += d.slow
-		r.Starting += d.starting
+		r.FastRate += d.fast
+		r.SlowRate += d.slow
+		r.AwaitingFirstByte += d.awaitingFirstByte
 	}
 	out := make([]residency.Model, 0, len(byName))
 	for _, name := range sortedKeys(byName) {
--- a/pkg/orders/demand.go
+++ b/pkg/orders/demand.go
@@ -27,11 +27,11 @@
 // movingRate is an exponentially decaying arrival rate.
 type movingRate struct {
 	fast, slow float64
-	// starting is the moving average of the number of requests that wait at endpoints for
-	// their first token.
-	starting float64
-	at       time.Time
-	lastUsed time.Time
+	// awaitingFirstByte is the moving average of the number of requests that wait at endpoints for
+	// the first byte of their response.
+	awaitingFirstByte float64
+	at                time.Time
+	lastUsed          time.Time
 }
 
 func (r *movingRate) decay(now time.Time) {
@@ -41,7 +41,7 @@
 	}
 	r.fast *= math.Exp(-dt / fastTimeConstant.Seconds())
 	r.slow *= math.Exp(-dt / slowTimeConstant.Seconds())
-	r.starting *= math.Exp(-dt / fastTimeConstant.Seconds())
+	r.awaitingFirstByte *= math.Exp(-dt / fastTimeConstant.Seconds())
 	r.at = now
 }
 
@@ -98,7 +98,7 @@
 			d.rates[key] = r
 		}
 		r.add(now, n.Arrived)
-		r.starting += float64(n.Starting) / 1000 / fastTimeConstant.Seconds()
+		r.awaitingFirstByte += float64(n.FirstByteWait) / 1000 / fastTimeConstant.Seconds()
 		if n.Inflight > 0 || n.Waiting > 0 {
 			r.lastUsed = now
 		}
@@ -125,11 +125,11 @@
 	waiting, inflight int
 	// inTime is the number of waiting requests that can start in time. due is the earliest
 	// due time of these, or of all waiting requests if there are none.
-	inTime     int
-	due        time.Time
-	fast, slow float64
-	starting   float64
-	lastUsed   time.Time
+	inTime            int
+	due               time.Time
+	fast, slow        float64
+	awaitingFirstByte float64
+	lastUsed          time.Time
 }
 
 // totals sums the reports that have not expired.
@@ -142,7 +142,7 @@
 			delete(d.rates, key)
 			continue
 		}
-		out[key] = &modelDemand{fast: r.fast * fastFactor, slow: r.slow * slowFactor, starting: r.starting * fastFactor, lastUsed: r.lastUsed}
+		out[key] = &modelDemand{fast: r.fast * fastFactor, slow: r.slow * slowFactor, awaitingFirstByte: r.awaitingFirstByte * fastFactor, lastUsed: r.lastUsed}
 	}
 	for host, h := range d.hosts {
 		if now.Sub(h.seen) > demandTTL {
--- a/pkg/orders/demand_test.go
+++ b/pkg/orders/demand_test.go
@@ -10,9 +10,9 @@
 	"github.com/tealvane/tealvane/pkg/orders"
 )
 
-// Guards against losing the reported waits for first tokens of some hosts. One second of
+// Guards against losing the reported waits for first bytes of some hosts. One second of
 // waiting per second counts as one request.
-func TestFirstTokenWaitIsSummedOverHosts(t *testing.T) {
+func TestFirstByteWaitIsSummedOverHosts(t *testing.T) {
 	is := is.New(t)
 	d := orders.NewDemand(start)
 	service := fleet.Service{Name: "llm", Engine: &fleet.Engine{Models: map[string]fleet.Model{"m": {Name: "m"}}}}
@@ -20,10 +20,10 @@
 	for range 80 {
 		now = now.Add(250 * time.Millisecond)
 		for _, host := range []string{"a", "b"} {
-			d.AddReport(now, fleet.DemandReport{Host: host, Needs: []fleet.NeedReport{{Service: "llm", Model: "m", Arrived: 1, Starting: 125}}})
+			d.AddReport(now, fleet.DemandReport{Host: host, Needs: []fleet.NeedReport{{Service: "llm", Model: "m", Arrived: 1, FirstByteWait: 125}}})
 		}
 	}
 	models := d.Models(now, service)
 	is.Equal(len(models), 1)
-	is.True(math.Abs(models[0].Starting-1) < 0.1)
+	is.True(math.Abs(models[0].AwaitingFirstByte-1) < 0.1)
 }
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -29,9 +29,9 @@
 	LastUsed time.Time
 	// KeepAlive is how long an idle replica stays loaded.
 	KeepAlive time.Duration
-	// Ahead is set while the next request is expected soon. One replica is then loaded and
+	// Preload is set while the next request is expected soon. One replica is then loaded and
 	// kept in advance.
-	Ahead bool
+	Preload bool
 }
 
 // Phase is the lifecycle phase of a replica.
@@ -249,7 +249,7 @@
 		if m == nil || !d.evictable(r, m) {
 			continue
 		}
-		if !m.Ahead && d.snap.Now.Sub(m.LastUsed) > m.KeepAlive {
+		if !m.Preload && d.snap.Now.Sub(m.LastUsed) > m.KeepAlive {
 			d.retire(r)
 		}
 	}
@@ -275,7 +275,7 @@
 // contract's limits.
 func desiredReplicas(m *Model) int {
 	load := m.Waiting + m.Inflight
-	if m.Waiting == 0 && m.Ahead {
+	if m.Waiting == 0 && m.Preload {
 		return max(m.Min, min(1, m.Max))
 	}
 	if m.Waiting == 0 {
--- a/pkg/pool/controller.go
+++ b/pkg/pool/controller.go
@@ -329,7 +329,7 @@
 	demand.LastUsed = c.lastUsed[key]
 	plan := c.keepAlivePlan(key, m)
 	demand.KeepAlive = plan.Keep
-	demand.Ahead = plan.Ahead(now.Sub(demand.LastUsed))
+	demand.Preload = plan.Preload(now.Sub(demand.LastUsed))
 	if m.Kind == contract.Adapter {
 		demand.BaseModel = m.BaseModel
 	}
--- a/pkg/relay/aggregator.go
+++ b/pkg/relay/aggregator.go
@@ -62,8 +62,8 @@
 		return c.confirm(now, r)
 	}
 	for _, n := range r.Needs {
-		if n.Arrived > 0 || n.Starting > 0 {
-			arrived := fleet.NeedReport{Priority: n.Priority, Arrived: n.Arrived, Starting: n.Starting}
+		if n.Arrived > 0 || n.FirstByteWait > 0 {
+			arrived := fleet.NeedReport{Priority: n.Priority, Arrived: n.Arrived, FirstByteWait: n.FirstByteWait}
 			if sum, ok := s.arrivals[needKeyOf(n)]; ok {
 				arrived = arrived.Add(sum)
 			}
@@ -118,7 +118,7 @@
 	unreachable, backoffRequested := setOf(own.Unreachable), setOf(own.BackoffRequested)
 	for _, c := range s.children {
 		for _, n := range c.needs {
-			n.Arrived, n.Starting = 0, 0
+			n.Arrived, n.FirstByteWait = 0, 0
 			add(n, now.Sub(c.reportedAt))
 		}
 		maps.Copy(unreachable, setOf(c.unreachable))
--- a/pkg/residency/prefetch.go
+++ b/pkg/residency/prefetch.go
@@ -31,7 +31,7 @@
 	var best *Model
 	for i := range d.snap.Models {
 		m := &d.snap.Models[i]
-		if m.Slow <= 0 || m.WeightsMB > free || d.holds(e, m.Name) || e.Copies[m.Name] > InStore {
+		if m.SlowRate <= 0 || m.WeightsMB > free || d.holds(e, m.Name) || e.Copies[m.Name] > InStore {
 			continue
 		}
 		if best == nil || d.ratePerCopy(m) > d.ratePerCopy(best) {
@@ -44,5 +44,5 @@
 // ratePerCopy returns the request rate of a model divided by the number of copies after one
 // more load.
 func (d *decider) ratePerCopy(m *Model) float64 {
-	return m.Slow / float64(1+d.copies[m.Name])
+	return m.SlowRate / float64(1+d.copies[m.Name])
 }
--- a/pkg/residency/residency.go
+++ b/pkg/residency/residency.go
@@ -78,22 +78,22 @@
 	// Due is when the missing model starts to delay requests: that of the earliest request
 	// that can still be in time, or of the earliest of all if none can.
 	Due time.Time
-	// Rate and Slow are moving averages in requests per second, over a short and a longer
+	// FastRate and SlowRate are moving averages in requests per second, over a short and a longer
 	// window.
-	Rate     float64
-	Slow     float64
+	FastRate float64
+	SlowRate float64
 	Inflight int
-	// Starting is the moving average of the number of requests that wait at endpoints for
-	// their first token.
-	Starting float64
+	// AwaitingFirstByte is the moving average of the number of requests that wait at endpoints for
+	// the first byte of their response.
+	AwaitingFirstByte float64
 }
 
 // prefillLoad returns how many endpoints the prompts of a model keep fully busy. A replica
 // processes prompts one at a time, so with an average of n requests waiting for their first
-// token it is busy for n/(1+n) of the time.
+// byte it is busy for n/(1+n) of the time.
 func (m *Model) prefillLoad(replicas int) float64 {
 	n := float64(max(1, replicas))
-	each := m.Starting / n
+	each := m.AwaitingFirstByte / n
 	return n * each / (1 + each)
 }
 
@@ -241,11 +241,11 @@
 // desiredReplicas returns the number of replicas that the demand for a model requires.
 func desiredReplicas(m *Model, l Limits) int {
 	n := 0
-	if m.Rate >= hotRate {
-		n = int(math.Ceil(m.Rate / l.RatePerReplica))
+	if m.FastRate >= hotRate {
+		n = int(math.Ceil(m.FastRate / l.RatePerReplica))
 		n = max(n, int(math.Ceil(float64(m.Inflight+m.Waiting)/(maxSlotShare*float64(max(1, l.Slots))))))
 	}
-	if m.Rate >= spareRate {
+	if m.FastRate >= spareRate {
 		n++
 	}
 	if m.Waiting > 0 {
@@ -330,7 +330,7 @@
 			cost += adapterCost
 		}
 	}
-	if s.model.Rate >= hotRate {
+	if s.model.FastRate >= hotRate {
 		cost += zoneCost * float64(d.zones[s.model.Name][e.Zone])
 		cost += colocationCost * float64(d.hotModelsAt(e))
 	}
@@ -341,7 +341,7 @@
 func (d *decider) hotModelsAt(e *Endpoint) int {
 	n := 0
 	for _, r := range e.Residents {
-		if m := d.models[r.Model]; m != nil && !r.Unloading && m.Rate >= hotRate {
+		if m := d.models[r.Model]; m != nil && !r.Unloading && m.FastRate >= hotRate {
 			n++
 		}
 	}
--- a/pkg/residency/residency_test.go
+++ b/pkg/residency/residency_test.go
@@ -26,11 +26,11 @@
 			Name: name, WeightsMB: 60, AdapterMB: 1,
 			StoreLoad: 6 * time.Second, DiskLoad: 800 * time.Millisecond, MemoryLoad: 600 * time.Millisecond,
 		},
-		Waiting: waiting,
-		InTime:  waiting,
-		Due:     now.Add(due),
-		Rate:    rate,
-		Slow:    rate,
+		Waiting:  waiting,
+		InTime:   waiting,
+		Due:      now.Add(due),
+		FastRate: rate,
+		SlowRate: rate,
 	}
 }
 
@@ -214,7 +214,7 @@
 
 // Guards against queueing requests for models that the weight store cannot load in time:
 // ReadyIn must include the loads that go first.
-func TestFarEstimatesLoadTimes(t *testing.T) {
+func TestColdModelsEstimatesLoadTimes(t *testing.T) {
 	is := is.New(t)
 	snap := residency.Snapshot{
 		Now:       now,
@@ -224,7 +224,7 @@
 	for i, name := range []string{"held", "near", "a", "b", "c"} {
 		snap.Models = append(snap.Models, model(name, 1, time.Duration(i)*time.Second, 0))
 	}
-	is.Equal(residency.Far(snap, 3, 4), []residency.FarModel{
+	is.Equal(residency.ColdModels(snap, 3, 4), []residency.ColdModel{
 		{Model: "a", ReadyIn: 6 * time.Second},
 		{Model: "b", ReadyIn: 12 * time.Second},
 		{Model: "c", ReadyIn: 12 * time.Second},
@@ -318,7 +318,7 @@
 func TestQueuedPromptsGetExtraReplica(t *testing.T) {
 	slowModel := func(starting float64) residency.Model {
 		m := model("slow", 0, 0, 4)
-		m.Starting = starting
+		m.AwaitingFirstByte = starting
 		return m
 	}
 	idle := model("idle", 0, 0, 0.01)
--- a/pkg/residency/shortfall.go
+++ b/pkg/residency/shortfall.go
@@ -37,7 +37,7 @@
 // promptsQueue reports whether prompts of a hot model queue at its replicas.
 func (d *decider) promptsQueue(m *Model) bool {
 	have := d.replicas[m.Name]
-	return m.Rate >= hotRate && m.prefillLoad(have) > prefillUtilization*float64(have)
+	return m.FastRate >= hotRate && m.prefillLoad(have) > prefillUtilization*float64(have)
 }
 
 // allows reports whether a candidate may be used. An extra replica neither loads from the
@@ -58,16 +58,16 @@
 			continue
 		}
 		s := shortfall{model: m, due: d.snap.Now.Add(spareDelay), cold: have == 0 && m.Waiting > 0}
-		if m.Rate >= hotRate {
-			s.overload = m.Rate / (d.snap.Limits.RatePerReplica * float64(max(1, have)))
+		if m.FastRate >= hotRate {
+			s.overload = m.FastRate / (d.snap.Limits.RatePerReplica * float64(max(1, have)))
 		}
 		if s.overload < overloadThreshold {
 			s.overload = 0
 		}
-		if m.Rate >= hotRate && have == 0 {
+		if m.FastRate >= hotRate && have == 0 {
 			// Requests for hot models have short deadlines: all that wait or arrive until
 			// the model is loaded are late.
-			s.overload = overloadThreshold + m.Rate/d.snap.Limits.RatePerReplica
+			s.overload = overloadThreshold + m.FastRate/d.snap.Limits.RatePerReplica
 		}
 		if s.cold {
 			s.due = m.Due.Add(-time.Duration(min(4, m.Waiting-1)) * batchBonus)
--- a/pkg/residency/victims.go
+++ b/pkg/residency/victims.go
@@ -54,10 +54,10 @@
 		return victim{}, false
 	}
 	// A replica that a hot model requires is not evicted.
-	if replicas <= d.desired[r.Model] && d.desired[r.Model] > 0 && m.Rate >= hotRate {
+	if replicas <= d.desired[r.Model] && d.desired[r.Model] > 0 && m.FastRate >= hotRate {
 		return victim{}, false
 	}
-	loss := m.Slow / float64(max(1, replicas))
+	loss := m.SlowRate / float64(max(1, replicas))
 	loss += drainCost.Seconds() * math.Min(1, float64(m.Inflight)/float64(max(1, replicas)))
 	return victim{model: r.Model, mb: mb, loss: loss}, true
 }
--- a/pkg/residency/weightstore.go
+++ b/pkg/residency/weightstore.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// FarModel is a requested model that no endpoint has in memory or as a cached copy.
-type FarModel struct {
+// ColdModel is a requested model that no endpoint has in memory or as a cached copy.
+type ColdModel struct {
 	Model string
 	// ReadyIn is the shortest time until the model can serve requests.
 	ReadyIn time.Duration
@@ -44,19 +44,19 @@
 	return false
 }
 
-// Far returns the models that must be loaded from the weight store, in load order, with the
+// ColdModels returns the models that must be loaded from the weight store, in load order, with the
 // earliest time at which each can serve. loading is the number of store loads in progress,
 // slots the number that the store handles at full speed. Hosts use it to reject early the
 // requests that cannot meet their deadline.
-func Far(snap Snapshot, loading, slots int) []FarModel {
+func ColdModels(snap Snapshot, loading, slots int) []ColdModel {
 	d := newDecider(snap)
-	var out []FarModel
+	var out []ColdModel
 	for _, s := range d.shortfalls() {
 		if d.replicas[s.model.Name] > 0 || d.copies[s.model.Name] > 0 {
 			continue
 		}
 		rounds := 1 + (loading+len(out))/max(1, slots)
-		out = append(out, FarModel{Model: s.model.Name, ReadyIn: time.Duration(rounds) * s.model.StoreLoad})
+		out = append(out, ColdModel{Model: s.model.Name, ReadyIn: time.Duration(rounds) * s.model.StoreLoad})
 	}
 	return slices.Clip(out)
 }
--- a/pkg/serve/demand.go
+++ b/pkg/serve/demand.go
@@ -15,9 +15,9 @@
 	// Dispatcher.Demand.
 	Inflight int
 	Arrived  int
-	// Starting is the total time that requests waited at endpoints for the first byte of the
+	// FirstByteWait is the total time that requests waited at endpoints for the first byte of the
 	// response since the last call of Dispatcher.Demand.
-	Starting time.Duration
+	FirstByteWait time.Duration
 	// Priority is the highest priority among the requests, where 0 is the highest.
 	Priority int
 }
@@ -63,7 +63,7 @@
 			delete(s.stats, n)
 			continue
 		}
-		byNeed[n] = &Demand{Need: n, Inflight: st.inflight, Arrived: st.arrived, Starting: st.firstByteWait, Priority: st.priority}
+		byNeed[n] = &Demand{Need: n, Inflight: st.inflight, Arrived: st.arrived, FirstByteWait: st.firstByteWait, Priority: st.priority}
 		if unmet && st.inflight == 0 {
 			// The client of the refused request is expected to retry by then.
 			byNeed[n].Waiting = 1
--- a/pkg/serve/dispatcher.go
+++ b/pkg/serve/dispatcher.go
@@ -47,16 +47,16 @@
 type Found struct {
 	// Ready lists the endpoints that have the model loaded and accept requests.
 	Ready []fleet.Endpoint
-	// ComingAt is when the next endpoint finishes loading the model, or zero if none is
+	// ReadyAt is when the next endpoint finishes loading the model, or zero if none is
 	// loading it.
-	ComingAt time.Time
-	// FarUntil is the earliest time at which a model without a replica can be ready. It is
+	ReadyAt time.Time
+	// ColdReadyAt is the earliest time at which a model without a replica can be ready. It is
 	// zero if the model has a replica or the time is not known.
-	FarUntil time.Time
-	// Known reports whether the service has any endpoint.
-	Known bool
-	// Unnamed reports that no configuration names the model or adapter.
-	Unnamed bool
+	ColdReadyAt time.Time
+	// HasEndpoints reports whether the service has any endpoint.
+	HasEndpoints bool
+	// NotConfigured reports that no configuration names the model or adapter.
+	NotConfigured bool
 }
 
 // Placement locates the endpoints that can serve a Need.
@@ -166,7 +166,7 @@
 	}
 	situation, missing := d.situation(now, w)
 	until, retryAfter, hold := d.hold(r, situation)
-	if !hold || !situation.Known {
+	if !hold || !situation.HasEndpoints {
 		s.keepDemand(now, w.need, situation)
 		s.mu.Unlock()
 		if missing {
@@ -197,9 +197,9 @@
 func refuse(s Situation, retryAfter time.Duration) *Refusal {
 	cause := CauseNotLoaded
 	switch {
-	case s.Unnamed:
+	case s.NotConfigured:
 		cause = CauseNoModel
-	case !s.Known:
+	case !s.HasEndpoints:
 		cause = CauseNoEndpoint
 	case s.Ready:
 		cause = CauseNoRoom
@@ -256,18 +256,18 @@
 func (d *Dispatcher) situation(now time.Time, w *waiter) (s Situation, missing bool) {
 	f := d.placement.Find(now, w.need)
 	freeAt, limited := d.limitedUntil(now, w.need, f.Ready)
-	s = Situation{Now: now, Ready: len(f.Ready) > 0 && !limited, ComingAt: f.ComingAt, FarUntil: f.FarUntil, Known: f.Known, Unnamed: f.Unnamed, Limited: limited}
-	if s.ComingAt.IsZero() || !freeAt.IsZero() && freeAt.Before(s.ComingAt) {
-		s.ComingAt = freeAt
+	s = Situation{Now: now, Ready: len(f.Ready) > 0 && !limited, ReadyAt: f.ReadyAt, ColdReadyAt: f.ColdReadyAt, HasEndpoints: f.HasEndpoints, NotConfigured: f.NotConfigured, Limited: limited}
+	if s.ReadyAt.IsZero() || !freeAt.IsZero() && freeAt.Before(s.ReadyAt) {
+		s.ReadyAt = freeAt
 	}
-	return s, !s.Ready && !s.Unnamed && w.need.Model != ""
+	return s, !s.Ready && !s.NotConfigured && w.need.Model != ""
 }
 
 // keepDemand keeps counting a refused request as demand if its model has to be loaded from the
 // weight store. Without it, a model that takes longer to load than clients wait would never be
 // loaded.
 func (s *shard) keepDemand(now time.Time, n Need, situation Situation) {
-	if !situation.Ready && !situation.FarUntil.IsZero() {
+	if !situation.Ready && !situation.ColdReadyAt.IsZero() {
 		s.statsOf(n).unmetUntil = now.Add(unmetDemandTTL)
 	}
 }
--- a/pkg/serve/fake_backend_test.go
+++ b/pkg/serve/fake_backend_test.go
@@ -51,10 +51,10 @@
 	// canceled counts runs that the host canceled.
 	canceled int
 	// status is what endpoints report for a request without a response.
-	status   serve.Run
-	ready    []fleet.Endpoint
-	comingAt time.Time
-	farUntil time.Time
+	status      serve.Run
+	ready       []fleet.Endpoint
+	readyAt     time.Time
+	coldReadyAt time.Time
 }
 
 func newFakeBackend(ids ...string) *fakeBackend {
@@ -74,7 +74,7 @@
 func (b *fakeBackend) Find(time.Time, serve.Need) serve.Found {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return serve.Found{Ready: slices.Clone(b.ready), ComingAt: b.comingAt, FarUntil: b.farUntil, Known: true}
+	return serve.Found{Ready: slices.Clone(b.ready), ReadyAt: b.readyAt, ColdReadyAt: b.coldReadyAt, HasEndpoints: true}
 }
 
 func (b *fakeBackend) setReady(ids ...string) {
--- a/pkg/serve/hold.go
+++ b/pkg/serve/hold.go
@@ -22,7 +22,7 @@
 	// refusalMargin is how long before its client disconnects a request is refused at the
 	// latest. It covers one retransmission of the refusal.
 	refusalMargin = 250 * time.Millisecond
-	// minRunTime is the time to the first token at an idle endpoint.
+	// minRunTime is the time to the first byte at an idle endpoint.
 	minRunTime = 60 * time.Millisecond
 )
 
@@ -53,38 +53,38 @@
 	Now time.Time
 	// Ready reports whether an endpoint can serve the request now.
 	Ready bool
-	// ComingAt is when the next endpoint finishes loading the model, or zero if none is
+	// ReadyAt is when the next endpoint finishes loading the model, or zero if none is
 	// loading it. If Limited is set, it is also when an endpoint accepts requests again, if
 	// that is earlier.
-	ComingAt time.Time
-	// FarUntil is the earliest time at which a model without a replica can be ready, or zero.
-	FarUntil time.Time
-	// Known reports whether the service has any live endpoint.
-	Known bool
+	ReadyAt time.Time
+	// ColdReadyAt is the earliest time at which a model without a replica can be ready, or zero.
+	ColdReadyAt time.Time
+	// HasEndpoints reports whether the service has any live endpoint.
+	HasEndpoints bool
 	// Limited reports that all endpoints with the model loaded are rate limited for this host
 	// or asked for a pause.
 	Limited bool
-	// Unnamed reports that no configuration names the model or adapter.
-	Unnamed bool
+	// NotConfigured reports that no configuration names the model or adapter.
+	NotConfigured bool
 }
 
 // Hold decides whether a request waits. It returns the time until which it may wait, and the
 // Retry-After for its client if it is refused.
 func Hold(r *Request, s Situation) (until time.Time, retryAfter time.Duration, hold bool) {
-	if s.Unnamed {
+	if s.NotConfigured {
 		// The model will not be loaded unless a new configuration names it.
-		s.ComingAt = s.Now.Add(configRolloutTime)
+		s.ReadyAt = s.Now.Add(configRolloutTime)
 		return s.Now, RetryAfter(r.Deadline.Sub(s.Now), s), false
 	}
-	if !s.Ready && s.ComingAt.IsZero() && s.FarUntil.After(r.BeginBy().Add(-minRunTime)) {
+	if !s.Ready && s.ReadyAt.IsZero() && s.ColdReadyAt.After(r.BeginBy().Add(-minRunTime)) {
 		// The model cannot be loaded from the weight store in time.
-		s.ComingAt = s.FarUntil
+		s.ReadyAt = s.ColdReadyAt
 		return s.Now, RetryAfter(r.Deadline.Sub(s.Now), s), false
 	}
 	until = holdUntil(r)
-	if !s.ComingAt.IsZero() && s.ComingAt.After(until) && s.ComingAt.Before(r.BeginBy().Add(-minRunTime)) {
+	if !s.ReadyAt.IsZero() && s.ReadyAt.After(until) && s.ReadyAt.Before(r.BeginBy().Add(-minRunTime)) {
 		// The load in progress finishes in time for this request.
-		until = s.ComingAt.Add(minRunTime)
+		until = s.ReadyAt.Add(minRunTime)
 	}
 	remaining := r.Deadline.Sub(s.Now)
 	if s.Now.Before(until) {
@@ -96,8 +96,8 @@
 // RetryAfter returns the Retry-After for a client with the given time remaining.
 func RetryAfter(remaining time.Duration, s Situation) time.Duration {
 	after := minRetryAfter
-	if !s.ComingAt.IsZero() {
-		after = max(after, s.ComingAt.Sub(s.Now))
+	if !s.ReadyAt.IsZero() {
+		after = max(after, s.ReadyAt.Sub(s.Now))
 	}
 	return min(after, maxRetryAfter, max(minRetryAfter, time.Duration(float64(remaining)*retryAfterShare)))
 }
--- a/pkg/serve/hold_test.go
+++ b/pkg/serve/hold_test.go
@@ -25,11 +25,11 @@
 		{"new request waits", serve.Situation{Now: at(0)}, true},
 		{"request waits after half of its timeout", serve.Situation{Now: at(5 * time.Second)}, true},
 		{"request is refused while its client can still retry", serve.Situation{Now: at(6 * time.Second)}, false},
-		{"request waits if the model is about to be loaded", serve.Situation{Now: at(6 * time.Second), ComingAt: at(7 * time.Second)}, true},
-		{"request is refused at once if the model cannot be loaded in time", serve.Situation{Now: at(0), FarUntil: at(12 * time.Second)}, false},
-		{"request waits if the model can be loaded in time", serve.Situation{Now: at(0), FarUntil: at(7 * time.Second)}, true},
-		{"request is refused at once if no configuration names the model", serve.Situation{Now: at(0), Known: true, Unnamed: true}, false},
-		{"request is refused if the load finishes too late", serve.Situation{Now: at(6 * time.Second), ComingAt: at(11 * time.Second)}, false},
+		{"request waits if the model is about to be loaded", serve.Situation{Now: at(6 * time.Second), ReadyAt: at(7 * time.Second)}, true},
+		{"request is refused at once if the model cannot be loaded in time", serve.Situation{Now: at(0), ColdReadyAt: at(12 * time.Second)}, false},
+		{"request waits if the model can be loaded in time", serve.Situation{Now: at(0), ColdReadyAt: at(7 * time.Second)}, true},
+		{"request is refused at once if no configuration names the model", serve.Situation{Now: at(0), HasEndpoints: true, NotConfigured: true}, false},
+		{"request is refused if the load finishes too late", serve.Situation{Now: at(6 * time.Second), ReadyAt: at(11 * time.Second)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -71,7 +71,7 @@
 	_, retryAfter, hold := serve.Hold(r, serve.Situation{Now: r.Arrived.Add(3 * time.Second)})
 	is.True(!hold)
 	is.True(retryAfter > 0)
-	_, _, hold = serve.Hold(r, serve.Situation{Now: r.Arrived, FarUntil: r.Arrived.Add(6 * time.Second)})
+	_, _, hold = serve.Hold(r, serve.Situation{Now: r.Arrived, ColdReadyAt: r.Arrived.Add(6 * time.Second)})
 	is.True(!hold) // the load ends after the client disconnects
 	due, _ := serve.Due(r, r.Arrived.Add(time.Second))
 	is.True(due.Before(r.FirstBy))
--- a/pkg/serve/serve_test.go
+++ b/pkg/serve/serve_test.go
@@ -159,7 +159,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newFakeBackend()
-		b.farUntil = time.Now().Add(time.Minute)
+		b.coldReadyAt = time.Now().Add(time.Minute)
 		s := newServer(b)
 		var out sink
 		r := s.Serve(context.Background(), request("r", fleet.Once, false), &out)
@@ -366,7 +366,7 @@
 		}
 		demand := dispatcher(s).Demand()
 		is.Equal(len(demand), 1)
-		is.Equal(demand[0].Starting, 600*time.Millisecond)
+		is.Equal(demand[0].FirstByteWait, 600*time.Millisecond)
 		is.Equal(len(dispatcher(s).Demand()), 0) // reported once
 	})
 }
