--- a/internal/standin/site/endpoint.go
+++ b/internal/standin/site/endpoint.go
@@ -42,8 +42,8 @@
 	Service string
 	Zone    string
 	Slots   int
-	// Born is the reported start time in Unix milliseconds. Zero means that none is reported.
-	Born int64
+	// StartMillis is the reported start time in Unix milliseconds. Zero means that none is reported.
+	StartMillis int64
 	// WeightsMB and AdapterSlots are the capacity for models and adapters. An endpoint without
 	// Models is a plain service.
 	WeightsMB    float64
@@ -235,8 +235,8 @@
 
 		"cold-remaining-ms": 0,
 	}
-	if e.config.Born != 0 {
-		entry["born"] = e.config.Born
+	if e.config.StartMillis != 0 {
+		entry["born"] = e.config.StartMillis
 	}
 	value, err := json.Marshal(entry)
 	if err != nil {
@@ -262,8 +262,8 @@
 		"sequence": e.sequence,
 		"running":  e.running,
 	}
-	if e.config.Born != 0 {
-		report["born"] = e.config.Born
+	if e.config.StartMillis != 0 {
+		report["born"] = e.config.StartMillis
 	}
 	writeJSON(w, http.StatusOK, report)
 }
--- a/pkg/completion/call.go
+++ b/pkg/completion/call.go
@@ -71,7 +71,7 @@
 		r.Service, r.Model = c.Model.Name, ""
 		r.Route.Kind = fleet.Idempotent
 		if c.Model.NonIdempotent {
-			r.Route.Kind = fleet.Once
+			r.Route.Kind = fleet.AtMostOnce
 		}
 	}
 	return r
--- a/pkg/entryhost/loops.go
+++ b/pkg/entryhost/loops.go
@@ -57,7 +57,7 @@
 		}
 		now := h.now()
 		h.watchMu.Lock()
-		h.watch.Observe(now, h.state.Hosts.Sessions(), h.journal.Readable())
+		h.watch.Observe(now, h.state.Hosts.Sessions(), h.journal.LogReadable())
 		h.watchMu.Unlock()
 		h.claimPools(ctx, now)
 	})
@@ -83,7 +83,7 @@
 		h.watchMu.Lock()
 		should := h.watch.ShouldClaim(now, h.self, name, owner)
 		h.watchMu.Unlock()
-		if !should || !h.journal.Readable() {
+		if !should || !h.journal.LogReadable() {
 			continue
 		}
 		claim := record.PoolClaim{Pool: name, PrevEpoch: epoch, Owner: h.self}
@@ -272,7 +272,7 @@
 		h.watchMu.Lock()
 		best, ok := lease.Preferred("upkeep", h.watch.Candidates(h.now()))
 		h.watchMu.Unlock()
-		if !ok || best != h.self || !h.journal.Readable() {
+		if !ok || best != h.self || !h.journal.LogReadable() {
 			return
 		}
 		ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
--- a/pkg/entryhost/replicas.go
+++ b/pkg/entryhost/replicas.go
@@ -60,7 +60,7 @@
 // CanLoad implements shares.Replicas.
 func (r replicas) CanLoad(poolName string) bool {
 	h := r.host
-	if !h.journal.Readable() || !h.journal.Writable() {
+	if !h.journal.LogReadable() || !h.journal.LogWritable() {
 		return false
 	}
 	owner, epoch := h.state.Pools.Owner(poolName)
--- a/pkg/entryhost/status.go
+++ b/pkg/entryhost/status.go
@@ -17,8 +17,8 @@
 		Ready: h.Ready(),
 		Log: operators.LogStatus{
 			Applied:  int64(h.state.Applied()),
-			Readable: h.journal.Readable(),
-			Writable: h.journal.Writable(),
+			Readable: h.journal.LogReadable(),
+			Writable: h.journal.LogWritable(),
 		},
 		Hosts:  []operators.HostStatus{},
 		Pools:  []operators.PoolStatus{},
--- a/pkg/fleet/config.go
+++ b/pkg/fleet/config.go
@@ -26,15 +26,15 @@
 	IdleTimeout    time.Duration
 }
 
-// Kind determines whether a request may be retried.
-type Kind int
+// RouteKind determines whether a request may be retried.
+type RouteKind int
 
 // The kinds of requests.
 const (
 	// Idempotent requests may run more than once.
-	Idempotent Kind = iota
-	// Once requests run at most once.
-	Once
+	Idempotent RouteKind = iota
+	// AtMostOnce requests run at most once.
+	AtMostOnce
 	// Stream requests are answered by a series of events. They may be retried only if the
 	// route is resumable, and then only from the last delivered event.
 	Stream
@@ -45,7 +45,7 @@
 	Name       string
 	Host       string
 	PathPrefix string
-	Kind       Kind
+	Kind       RouteKind
 	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
 	// Objective is the latency objective; for streams it applies to the first event.
@@ -69,8 +69,8 @@
 	Weight  int
 }
 
-// Repeatable reports whether a request of the route may be retried.
-func (r Route) Repeatable() bool {
+// Retryable reports whether a request of the route may be retried.
+func (r Route) Retryable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -69,8 +69,8 @@
 	return d.nextOffset
 }
 
-// StoreState records whether the store responds to this host.
-func (d *Directory) StoreState(now time.Time, responding bool) {
+// SetStoreAvailable records whether the store responds to this host.
+func (d *Directory) SetStoreAvailable(now time.Time, responding bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.storeUnavailable && responding {
@@ -79,10 +79,10 @@
 	d.storeUnavailable = !responding
 }
 
-// Confirmed records that another host has just read the list and sent its changes. The store
+// MarkStoreAvailable records that another host has just read the list and sent its changes. The store
 // is then available, even if it does not respond to this host, so that missing entries expire
 // on time.
-func (d *Directory) Confirmed() {
+func (d *Directory) MarkStoreAvailable() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.storeUnavailable = false
@@ -97,7 +97,7 @@
 }
 
 func (d *Directory) apply(now time.Time, offset int64, e Endpoint) {
-	if e.Unreadable || e.ID.Born() < d.current[e.ID.Name()].Born() && e.ID.Born() == 0 {
+	if e.Unreadable || e.ID.StartMillis() < d.current[e.ID.Name()].StartMillis() && e.ID.StartMillis() == 0 {
 		d.markUnreadable(now, offset, e.ID.Name())
 		return
 	}
@@ -122,7 +122,7 @@
 func (d *Directory) supersede(id EndpointID) bool {
 	name := id.Name()
 	previous, known := d.current[name]
-	if known && id.Born() < previous.Born() {
+	if known && id.StartMillis() < previous.StartMillis() {
 		return false
 	}
 	if known && previous != id && !d.entries[previous].gone {
@@ -182,16 +182,16 @@
 	return ""
 }
 
-// Material returns the offset of the newest entry that changed which endpoints take requests.
-func (d *Directory) Material() int64 {
+// RoutingOffset returns the offset of the newest entry that changed which endpoints take requests.
+func (d *Directory) RoutingOffset() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.routingOffset
 }
 
-// MaterialSince returns the endpoints that were added, started draining or were removed after
+// RoutingChangesSince returns the endpoints that were added, started draining or were removed after
 // an offset.
-func (d *Directory) MaterialSince(offset int64) []EndpointID {
+func (d *Directory) RoutingChangesSince(offset int64) []EndpointID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []EndpointID
@@ -203,9 +203,9 @@
 	return out
 }
 
-// StoreBack records the end of a store outage that another host has seen. A host that reads
+// SetStoreRestored records the end of a store outage that another host has seen. A host that reads
 // the store rarely may have missed it.
-func (d *Directory) StoreBack(at time.Time) {
+func (d *Directory) SetStoreRestored(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if at.After(d.storeRestoredAt) {
@@ -213,9 +213,9 @@
 	}
 }
 
-// StoreBackAgo returns the time since the last store outage ended, or 0 if expired entries can
+// StoreRestoredAgo returns the time since the last store outage ended, or 0 if expired entries can
 // no longer return.
-func (d *Directory) StoreBackAgo(now time.Time) time.Duration {
+func (d *Directory) StoreRestoredAgo(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	ago := now.Sub(d.storeRestoredAt)
@@ -389,8 +389,8 @@
 	return pruned
 }
 
-// Known returns the number of endpoints in memory, including gone ones.
-func (d *Directory) Known() int {
+// Len returns the number of endpoints in memory, including gone ones.
+func (d *Directory) Len() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.entries)
--- a/pkg/fleet/endpoint.go
+++ b/pkg/fleet/endpoint.go
@@ -14,13 +14,13 @@
 // incarnationSeparator separates the name of an endpoint from its start time.
 const incarnationSeparator = "@"
 
-// NewEndpointID returns the ID of an incarnation. born is its start time in Unix milliseconds,
+// NewEndpointID returns the ID of an incarnation. startMillis is its start time in Unix milliseconds,
 // 0 if the endpoint does not state it.
-func NewEndpointID(name string, born int64) EndpointID {
-	if born == 0 && !strings.Contains(name, incarnationSeparator) {
+func NewEndpointID(name string, startMillis int64) EndpointID {
+	if startMillis == 0 && !strings.Contains(name, incarnationSeparator) {
 		return EndpointID(name)
 	}
-	return EndpointID(name + incarnationSeparator + strconv.FormatInt(born, 10))
+	return EndpointID(name + incarnationSeparator + strconv.FormatInt(startMillis, 10))
 }
 
 // Name returns the name that all incarnations of the endpoint share.
@@ -31,14 +31,14 @@
 	return string(id)
 }
 
-// Born returns the start time of the incarnation in Unix milliseconds, 0 if unknown.
-func (id EndpointID) Born() int64 {
+// StartMillis returns the start time of the incarnation in Unix milliseconds, 0 if unknown.
+func (id EndpointID) StartMillis() int64 {
 	i := strings.LastIndex(string(id), incarnationSeparator)
-	born, err := strconv.ParseInt(string(id[i+1:]), 10, 64)
+	startMillis, err := strconv.ParseInt(string(id[i+1:]), 10, 64)
 	if i < 0 || err != nil {
 		return 0
 	}
-	return born
+	return startMillis
 }
 
 // Endpoint is the state of an endpoint as last written to the platform's list.
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -50,8 +50,8 @@
 	d := fleet.NewDirectory()
 	d.Apply(at(0), 0, endpoint("a"))
 	d.Apply(at(0), 1, endpoint("b"))
-	d.StoreState(at(1), false)
-	d.StoreState(at(10), true)
+	d.SetStoreAvailable(at(1), false)
+	d.SetStoreAvailable(at(10), true)
 	d.Remove(at(10.1), 2, "a")
 	d.Remove(at(10.1), 3, "b")
 	is.Equal(ids(d.Live(at(10.2))), []fleet.EndpointID{"a", "b"})
@@ -136,15 +136,15 @@
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	d.Apply(at(0), 3, endpoint("a"))
-	is.Equal(d.Material(), int64(3))
+	is.Equal(d.RoutingOffset(), int64(3))
 	d.Apply(at(1), 4, endpoint("a"))
-	is.Equal(d.Material(), int64(3))
+	is.Equal(d.RoutingOffset(), int64(3))
 	draining := endpoint("a")
 	draining.Draining = true
 	d.Apply(at(2), 5, draining)
-	is.Equal(d.Material(), int64(5))
+	is.Equal(d.RoutingOffset(), int64(5))
 	d.Remove(at(3), 6, "a")
-	is.Equal(d.Material(), int64(6))
+	is.Equal(d.RoutingOffset(), int64(6))
 }
 
 // Guards against unbounded growth by replaced endpoints, and against a delayed entry that
@@ -161,7 +161,7 @@
 		}
 		d.Prune(now)
 	}
-	is.True(d.Known() < 100)
+	is.True(d.Len() < 100)
 	end := at(replaced)
 	d.Apply(end, 10, endpoint("e5"))
 	live := d.Live(end)
@@ -200,17 +200,17 @@
 	d := fleet.NewDirectory()
 	d.Apply(at(0), 0, endpoint("a"))
 	d.Apply(at(0), 1, endpoint("b"))
-	is.Equal(len(d.MaterialSince(-1)), 2)
+	is.Equal(len(d.RoutingChangesSince(-1)), 2)
 	d.Apply(at(1), 2, endpoint("a"))
-	is.Equal(len(d.MaterialSince(1)), 0) // a heartbeat
+	is.Equal(len(d.RoutingChangesSince(1)), 0) // a heartbeat
 	draining := endpoint("a")
 	draining.Draining = true
 	d.Apply(at(2), 3, draining)
-	is.Equal(d.MaterialSince(1), []fleet.EndpointID{"a"})
+	is.Equal(d.RoutingChangesSince(1), []fleet.EndpointID{"a"})
 	d.Apply(at(3), 4, draining)
-	is.Equal(d.MaterialSince(2), []fleet.EndpointID{"a"}) // still listed after a heartbeat
+	is.Equal(d.RoutingChangesSince(2), []fleet.EndpointID{"a"}) // still listed after a heartbeat
 	d.Remove(at(4), 5, "b")
-	is.Equal(d.MaterialSince(4), []fleet.EndpointID{"b"})
+	is.Equal(d.RoutingChangesSince(4), []fleet.EndpointID{"b"})
 	d.Apply(at(5), 6, endpoint("b"))
-	is.Equal(d.MaterialSince(5), []fleet.EndpointID{"b"})
+	is.Equal(d.RoutingChangesSince(5), []fleet.EndpointID{"b"})
 }
--- a/pkg/fleet/incarnation_test.go
+++ b/pkg/fleet/incarnation_test.go
@@ -8,9 +8,9 @@
 )
 
 // incarnation returns an endpoint with the given start time and models.
-func incarnation(name string, born int64, models ...string) fleet.Endpoint {
+func incarnation(name string, startMillis int64, models ...string) fleet.Endpoint {
 	e := endpoint(name)
-	e.ID = fleet.NewEndpointID(name, born)
+	e.ID = fleet.NewEndpointID(name, startMillis)
 	for _, m := range models {
 		e.Holds = append(e.Holds, fleet.Held{Model: m})
 	}
@@ -73,12 +73,12 @@
 			l := fleet.NewLocator(d)
 			d.Apply(at(0), 1, incarnation("a", 100, "m"))
 			d.Apply(at(0), 2, incarnation("b", 100, "m"))
-			before := d.Material()
+			before := d.RoutingOffset()
 			d.Apply(at(1), 3, e)
 			l.MarkStale()
 			is.Equal(ready(l, 1, "m"), []string{"b@100"})                      // other endpoints are not affected
 			is.Equal(ids(d.Live(at(1))), []fleet.EndpointID{"a@100", "b@100"}) // its requests continue
-			is.True(d.Material() > before)                                     // other hosts must learn of the change
+			is.True(d.RoutingOffset() > before)                                // other hosts must learn of the change
 			d.Apply(at(2), 4, incarnation("a", 100, "m"))
 			l.MarkStale()
 			is.Equal(len(ready(l, 2, "m")), 2)
@@ -103,10 +103,10 @@
 func TestEndpointIDRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"a", "", "a@7", "@"} {
-		for _, born := range []int64{0, 1764726213000} {
-			id := fleet.NewEndpointID(name, born)
+		for _, startMillis := range []int64{0, 1764726213000} {
+			id := fleet.NewEndpointID(name, startMillis)
 			is.Equal(id.Name(), name)
-			is.Equal(id.Born(), born)
+			is.Equal(id.StartMillis(), startMillis)
 		}
 	}
 }
--- a/pkg/fleet/locator_test.go
+++ b/pkg/fleet/locator_test.go
@@ -97,7 +97,7 @@
 				l.ApplyNotice(now, n)
 				r.notice(now, n)
 			},
-			"store": func(t *rapid.T) { d.StoreState(now, rapid.Bool().Draw(t, "answers")) },
+			"store": func(t *rapid.T) { d.SetStoreAvailable(now, rapid.Bool().Draw(t, "answers")) },
 			"prune": func(t *rapid.T) { d.Prune(now) },
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(300, 40_000).Draw(t, "ms")) * time.Millisecond)
--- a/pkg/fleet/messages.go
+++ b/pkg/fleet/messages.go
@@ -25,9 +25,9 @@
 	// started draining or were removed after the offset ListSince.
 	ListEntries []Entry `cbor:"11,keyasint,omitempty"`
 	ListSince   int64   `cbor:"12,keyasint,omitempty"`
-	// StoreBackAgo is the time in milliseconds since the controller saw the end of a store
+	// StoreRestoredAgo is the time in milliseconds since the controller saw the end of a store
 	// outage; 0 if there was none recently.
-	StoreBackAgo int64 `cbor:"13,keyasint,omitempty"`
+	StoreRestoredAgo int64 `cbor:"13,keyasint,omitempty"`
 	// Cold lists all requested models without a copy on any endpoint. It is omitted if the
 	// receiver already knows the list (ColdUnchanged).
 	Cold          []ColdModel `cbor:"10,keyasint,omitempty"`
--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -93,7 +93,7 @@
 		Topic:  t,
 		Reset:  func(fleet.Batch) {},
 		Apply:  func(fleet.Batch) {},
-		Result: func(err error) { state.Answered(t, time.Now(), err) },
+		Result: func(err error) { state.RecordResult(t, time.Now(), err) },
 	}
 }
 
@@ -170,7 +170,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStore()
-		calls := follow.NewCalls(s)
+		calls := follow.NewRateLimitedStore(s)
 		ctx, cancel := context.WithCancel(t.Context())
 		for range 4 {
 			go func() {
@@ -199,7 +199,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		f := follower(s, follow.NewState(), fleet.TopicHosts)
 		f.Wait = 15 * time.Second
-		f.Gather = func() time.Duration { return 250 * time.Millisecond }
+		f.BatchDelay = func() time.Duration { return 250 * time.Millisecond }
 		go f.Run(ctx)
 		time.Sleep(2 * time.Second)
 		is.True(s.count() <= 4) // the newest entries, two reads with entries, one pending read
--- a/pkg/follow/follower.go
+++ b/pkg/follow/follower.go
@@ -40,17 +40,17 @@
 	// endpoint list is unavailable. A receive from Wake ends the pause early.
 	Pause func() time.Duration
 	Wake  <-chan struct{}
-	// WakePause is the minimum pause before Wake may end it, so that frequent wakes do not
+	// MinWakePause is the minimum pause before Wake may end it, so that frequent wakes do not
 	// cause a read each.
-	WakePause time.Duration
-	// FailedPause returns the minimum pause after a failed read; nil means no minimum.
-	FailedPause func() time.Duration
-	// Told reports whether another host relays the topic. It is then read only every
+	MinWakePause time.Duration
+	// MinFailurePause returns the minimum pause after a failed read; nil means no minimum.
+	MinFailurePause func() time.Duration
+	// Relayed reports whether another host relays the topic. It is then read only every
 	// relayedPollInterval, to correct errors of the relay. It may be nil.
-	Told func() bool
-	// Gather returns the pause after a read that returned entries, so that entries written
+	Relayed func() bool
+	// BatchDelay returns the pause after a read that returned entries, so that entries written
 	// shortly after each other are read together. It may be nil.
-	Gather func() time.Duration
+	BatchDelay func() time.Duration
 	// Reset receives the newest entries of all keys, Apply the entries that follow.
 	Reset func(fleet.Batch)
 	Apply func(fleet.Batch)
@@ -89,8 +89,8 @@
 			if f.Failed != nil {
 				f.Failed(ctx)
 			}
-			if f.FailedPause != nil {
-				f.pauseUntilRestored(ctx, max(backoff, f.FailedPause()))
+			if f.MinFailurePause != nil {
+				f.pauseUntilRestored(ctx, max(backoff, f.MinFailurePause()))
 			} else {
 				f.pauseUntilRestored(ctx, backoff)
 			}
@@ -104,8 +104,8 @@
 			f.Apply(batch)
 		}
 		next = batch.Next
-		if len(batch.Entries) > 0 && f.Gather != nil {
-			wait.For(ctx, f.Gather())
+		if len(batch.Entries) > 0 && f.BatchDelay != nil {
+			wait.For(ctx, f.BatchDelay())
 		}
 		f.pauseAfterRead(ctx)
 	}
@@ -115,7 +115,7 @@
 // relayedPollInterval.
 func (f *Follower) pauseWhileRelayed(ctx context.Context) {
 	start := time.Now()
-	for f.Told != nil && f.Told() && time.Since(start) < relayedPollInterval && ctx.Err() == nil {
+	for f.Relayed != nil && f.Relayed() && time.Since(start) < relayedPollInterval && ctx.Err() == nil {
 		wait.For(ctx, recheckInterval)
 	}
 }
@@ -132,7 +132,7 @@
 // while the store is unavailable, and cancels a blocked read when another read shows the end
 // of the outage.
 func (f *Follower) readNext(ctx context.Context, next int64) (fleet.Batch, error) {
-	unavailable, restored := f.State.ListAway()
+	unavailable, restored := f.State.ListUnavailable()
 	if f.Wait == 0 || unavailable {
 		return f.Store.Read(ctx, f.Topic, next, 0)
 	}
@@ -162,7 +162,7 @@
 // pauseAfterRead pauses after a successful read.
 func (f *Follower) pauseAfterRead(ctx context.Context) {
 	if f.Pause == nil {
-		if unavailable, _ := f.State.ListAway(); unavailable {
+		if unavailable, _ := f.State.ListUnavailable(); unavailable {
 			f.pauseUntilRestored(ctx, unavailablePause)
 		}
 		return
@@ -173,9 +173,9 @@
 		elapsed := time.Since(start)
 		remaining := time.Duration(jitter*float64(f.Pause())) - elapsed
 		wake := f.Wake
-		if elapsed < f.WakePause {
+		if elapsed < f.MinWakePause {
 			wake = nil
-			remaining = min(remaining, f.WakePause-elapsed)
+			remaining = min(remaining, f.MinWakePause-elapsed)
 		}
 		if remaining <= 0 || !wait.Or(ctx, min(remaining, recheckInterval), wake) {
 			return
@@ -187,7 +187,7 @@
 func (f *Follower) pauseUntilRestored(ctx context.Context, d time.Duration) {
 	var restored <-chan struct{}
 	if f.Topic != fleet.TopicEndpoints {
-		_, restored = f.State.ListAway()
+		_, restored = f.State.ListUnavailable()
 	}
 	wait.Or(ctx, wait.Jitter(d), restored)
 }
--- a/pkg/follow/call_limiter.go
+++ b/pkg/follow/rate_limited_store.go
@@ -20,13 +20,13 @@
 	writeReserve = 3
 )
 
-// Calls is a fleet.Store that limits the rate of calls with a token bucket. Calls beyond the
-// limit block until a token is available. It protects the store from callers that retry too
+// RateLimitedStore is a fleet.Store that limits the rate of calls with a token bucket. Calls beyond
+// the limit block until a token is available. It protects the store from callers that retry too
 // fast, and is safe for concurrent use.
-type Calls struct {
+type RateLimitedStore struct {
 	Store fleet.Store
-	// Count, if not nil, is called before each call.
-	Count func(fleet.Topic)
+	// OnCall, if not nil, is called before each call.
+	OnCall func(fleet.Topic)
 
 	mu sync.Mutex
 	// tokens is the number of available tokens at the time asOf.
@@ -34,11 +34,13 @@
 	asOf   time.Time
 }
 
-// NewCalls returns a store that limits the calls to s.
-func NewCalls(s fleet.Store) *Calls { return &Calls{Store: s, tokens: callBurst, asOf: time.Now()} }
+// NewRateLimitedStore returns a store that limits the calls to s.
+func NewRateLimitedStore(s fleet.Store) *RateLimitedStore {
+	return &RateLimitedStore{Store: s, tokens: callBurst, asOf: time.Now()}
+}
 
 // Newest implements fleet.Store.
-func (c *Calls) Newest(ctx context.Context, t fleet.Topic) (fleet.Batch, error) {
+func (c *RateLimitedStore) Newest(ctx context.Context, t fleet.Topic) (fleet.Batch, error) {
 	if err := c.acquire(ctx, writeReserve); err != nil {
 		return fleet.Batch{}, err
 	}
@@ -47,7 +49,7 @@
 }
 
 // Read implements fleet.Store.
-func (c *Calls) Read(ctx context.Context, t fleet.Topic, from int64, wait time.Duration) (fleet.Batch, error) {
+func (c *RateLimitedStore) Read(ctx context.Context, t fleet.Topic, from int64, wait time.Duration) (fleet.Batch, error) {
 	if err := c.acquire(ctx, writeReserve); err != nil {
 		return fleet.Batch{}, err
 	}
@@ -56,7 +58,7 @@
 }
 
 // Put implements fleet.Store.
-func (c *Calls) Put(ctx context.Context, t fleet.Topic, key string, value []byte, at int64) (int64, error) {
+func (c *RateLimitedStore) Put(ctx context.Context, t fleet.Topic, key string, value []byte, at int64) (int64, error) {
 	if err := c.acquire(ctx, 0); err != nil {
 		return 0, err
 	}
@@ -64,14 +66,14 @@
 	return c.Store.Put(ctx, t, key, value, at)
 }
 
-func (c *Calls) count(t fleet.Topic) {
-	if c.Count != nil {
-		c.Count(t)
+func (c *RateLimitedStore) count(t fleet.Topic) {
+	if c.OnCall != nil {
+		c.OnCall(t)
 	}
 }
 
 // acquire blocks until it has taken a token, leaving at least reserve tokens in the bucket.
-func (c *Calls) acquire(ctx context.Context, reserve float64) error {
+func (c *RateLimitedStore) acquire(ctx context.Context, reserve float64) error {
 	for {
 		d := c.tryAcquire(time.Now(), reserve)
 		if d == 0 {
@@ -84,7 +86,7 @@
 }
 
 // tryAcquire takes a token and returns 0, or returns the time until one is available.
-func (c *Calls) tryAcquire(now time.Time, reserve float64) time.Duration {
+func (c *RateLimitedStore) tryAcquire(now time.Time, reserve float64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tokens = min(callBurst, c.tokens+now.Sub(c.asOf).Seconds()*callsPerSecond)
--- a/pkg/follow/state.go
+++ b/pkg/follow/state.go
@@ -20,7 +20,7 @@
 type topicState struct {
 	loaded      bool
 	unavailable bool
-	lastAnswer  time.Time
+	lastSuccess time.Time
 }
 
 // NewState returns the state of a host that has not read any topic.
@@ -37,9 +37,9 @@
 	return state
 }
 
-// Answered records the result of a read of a topic. It reports whether the availability of the
+// RecordResult records the result of a read of a topic. It reports whether the availability of the
 // topic has changed.
-func (s *State) Answered(t fleet.Topic, now time.Time, err error) (changed bool) {
+func (s *State) RecordResult(t fleet.Topic, now time.Time, err error) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.topic(t)
@@ -51,16 +51,16 @@
 		s.restored = make(chan struct{})
 	}
 	if !unavailable {
-		state.lastAnswer = now
+		state.lastSuccess = now
 		state.loaded = true
 	}
 	return changed
 }
 
-// ListAway reports whether the endpoint list is unavailable. The returned channel is closed
+// ListUnavailable reports whether the endpoint list is unavailable. The returned channel is closed
 // when the list becomes available again. The list is read most often, so that it indicates the
 // state of the store first.
-func (s *State) ListAway() (bool, <-chan struct{}) {
+func (s *State) ListUnavailable() (bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.topic(fleet.TopicEndpoints).unavailable, s.restored
@@ -80,10 +80,10 @@
 	s.topic(t).loaded = true
 }
 
-// LastAnswer returns the time of the last successful read of a topic, or the zero time if
+// LastSuccess returns the time of the last successful read of a topic, or the zero time if
 // there was none.
-func (s *State) LastAnswer(t fleet.Topic) time.Time {
+func (s *State) LastSuccess(t fleet.Topic) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.topic(t).lastAnswer
+	return s.topic(t).lastSuccess
 }
--- a/pkg/follow/wake_test.go
+++ b/pkg/follow/wake_test.go
@@ -30,7 +30,7 @@
 }
 
 // Guards against too frequent reads when the follower is woken again and again, and against a
-// WakePause that extends a shorter Pause.
+// MinWakePause that extends a shorter Pause.
 func TestWakeRespectsMinimumPause(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -47,7 +47,7 @@
 				wake := make(chan struct{}, 1)
 				f := follow.Follower{
 					Store: store, State: follow.NewState(), Log: slog.New(slog.DiscardHandler), Topic: fleet.TopicEndpoints,
-					Pause: func() time.Duration { return c.pause }, Wake: wake, WakePause: 500 * time.Millisecond,
+					Pause: func() time.Duration { return c.pause }, Wake: wake, MinWakePause: 500 * time.Millisecond,
 					Reset: func(fleet.Batch) {}, Apply: func(fleet.Batch) {}, Result: func(error) {},
 				}
 				ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -140,7 +140,7 @@
 	}
 	now = g.Now()
 	g.children.responded(ch, now, g.currentVersions())
-	n := g.withListChanges(now, g.locator.ChangesSince(now, g.self.Incarnation, p), p.ListNext-1, g.directory.Material())
+	n := g.withListChanges(now, g.locator.ChangesSince(now, g.self.Incarnation, p), p.ListNext-1, g.directory.RoutingOffset())
 	n.Stamp = g.stampFor(now, n.Token)
 	n.BlocksChecksum, n.Blocks = g.blocks.forResponse(now, p.BlocksChecksum)
 	n.SignalsChecksum, n.Signals = g.signals.forResponse(now, p.SignalsChecksum)
@@ -153,7 +153,7 @@
 // currentVersions returns the versions of all state that children must learn of immediately.
 func (g *Gateway) currentVersions() stateVersions {
 	return stateVersions{
-		list:   g.directory.Material(),
+		list:   g.directory.RoutingOffset(),
 		claim:  g.election.Newest().Token,
 		config: g.configVersion(),
 		hosts:  g.cache.hostsOffset(),
--- a/pkg/gateway/control.go
+++ b/pkg/gateway/control.go
@@ -79,7 +79,7 @@
 
 // listAge returns the time since the store last answered a read of the list of endpoints.
 func (g *Gateway) listAge(now time.Time) time.Duration {
-	return now.Sub(g.storeReads.LastAnswer(fleet.TopicEndpoints))
+	return now.Sub(g.storeReads.LastSuccess(fleet.TopicEndpoints))
 }
 
 // withListChanges adds to a notice what has changed in the list of endpoints after offset
@@ -87,15 +87,15 @@
 func (g *Gateway) withListChanges(now time.Time, n fleet.Notice, since, change int64) fleet.Notice {
 	g.listMu.Lock()
 	defer g.listMu.Unlock()
-	change = max(change, g.directory.Material())
+	change = max(change, g.directory.RoutingOffset())
 	n.ListSince = since
 	n.ListChange = change
 	n.ListAge = min(g.listViewAge(now), time.Hour).Milliseconds()
 	if since != noOffset && change > since {
-		n.ListEntries = g.fitToLink(g.cache.endpointEntries(g.directory.MaterialSince(since)))
+		n.ListEntries = g.fitToLink(g.cache.endpointEntries(g.directory.RoutingChangesSince(since)))
 	}
-	if back := g.directory.StoreBackAgo(now); back > 0 {
-		n.StoreBackAgo = max(1, back.Milliseconds())
+	if back := g.directory.StoreRestoredAgo(now); back > 0 {
+		n.StoreRestoredAgo = max(1, back.Milliseconds())
 	}
 	return n
 }
--- a/pkg/gateway/crashstore.go
+++ b/pkg/gateway/crashstore.go
@@ -127,7 +127,7 @@
 func (g *Gateway) followCrashes(ctx context.Context) {
 	g.deferFirstRead(ctx, g.receivesCrashes)
 	f := g.follower(fleet.TopicCrashes, g.applyCrashRecords, g.applyCrashRecords)
-	f.Told = g.receivesCrashes
+	f.Relayed = g.receivesCrashes
 	f.Run(ctx)
 }
 
--- a/pkg/gateway/export_test.go
+++ b/pkg/gateway/export_test.go
@@ -24,7 +24,7 @@
 
 // StoreAway reports whether the host has noticed that the store does not respond.
 func (g *Gateway) StoreAway() bool {
-	away, _ := g.storeReads.ListAway()
+	away, _ := g.storeReads.ListUnavailable()
 	return away
 }
 
--- a/pkg/gateway/follow.go
+++ b/pkg/gateway/follow.go
@@ -61,15 +61,15 @@
 // follower returns a follower of a topic.
 func (g *Gateway) follower(t fleet.Topic, reset, apply func(fleet.Batch)) *follow.Follower {
 	return &follow.Follower{
-		Store:  g.store,
-		State:  g.storeReads,
-		Log:    g.log,
-		Topic:  t,
-		Wait:   longPollTimeout,
-		Told:   g.receivesOrExpectsUpdates,
-		Reset:  reset,
-		Apply:  apply,
-		Result: func(err error) { g.recordStoreResult(t, err) },
+		Store:   g.store,
+		State:   g.storeReads,
+		Log:     g.log,
+		Topic:   t,
+		Wait:    longPollTimeout,
+		Relayed: g.receivesOrExpectsUpdates,
+		Reset:   reset,
+		Apply:   apply,
+		Result:  func(err error) { g.recordStoreResult(t, err) },
 	}
 }
 
@@ -77,9 +77,9 @@
 // unavailable or available again.
 func (g *Gateway) recordStoreResult(t fleet.Topic, err error) {
 	now := g.Now()
-	changed := g.storeReads.Answered(t, now, err)
+	changed := g.storeReads.RecordResult(t, now, err)
 	if t == fleet.TopicEndpoints {
-		g.directory.StoreState(now, err == nil)
+		g.directory.SetStoreAvailable(now, err == nil)
 	}
 	switch {
 	case changed && err != nil:
@@ -92,7 +92,7 @@
 
 func (g *Gateway) followConfig(ctx context.Context) {
 	f := g.follower(fleet.TopicConfig, g.applyConfigs, g.applyConfigs)
-	f.Told = func() bool { return g.receivesOrExpectsUpdates() && !g.missedNewerConfig() }
+	f.Relayed = func() bool { return g.receivesOrExpectsUpdates() && !g.missedNewerConfig() }
 	f.Failed = g.fetchState
 	f.Run(ctx)
 }
@@ -129,11 +129,11 @@
 func (g *Gateway) followEndpoints(ctx context.Context) {
 	f := g.follower(fleet.TopicEndpoints, g.replaceEndpoints, g.applyEndpoints)
 	f.Wait = 0
-	f.Told = nil
+	f.Relayed = nil
 	f.Pause = g.listPollInterval
-	f.FailedPause = g.leafListPollInterval
+	f.MinFailurePause = g.leafListPollInterval
 	f.Wake = g.listReadNow
-	f.WakePause = g.settings.Timing.Drain / listWakeDrainDivisor
+	f.MinWakePause = g.settings.Timing.Drain / listWakeDrainDivisor
 	f.Failed = g.fetchState
 	f.Run(ctx)
 }
@@ -314,13 +314,13 @@
 		g.applyHosts(b)
 	}
 	f := g.follower(fleet.TopicHosts, apply, apply)
-	f.Gather = g.hostBatchWindow
+	f.BatchDelay = g.hostBatchWindow
 	// Hosts that start together would find few entries if they read at once, and would have to
 	// read again.
 	wait.For(ctx, hostBatchDelay)
 	// A starting host must know its relay's new key before it can receive updates from it. A
 	// claim alone is not sufficient here.
-	f.Told = func() bool {
+	f.Relayed = func() bool {
 		now := g.Now()
 		return !g.mesh.isRelay() && (g.notices.recent(now) || g.mesh.membershipStable(now) && g.expectsUpdates())
 	}
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -156,8 +156,8 @@
 		crashCursors:  newCrashCursors(),
 		storedCrashes: newStoredCrashes(),
 	}
-	calls := follow.NewCalls(cfg.Store)
-	calls.Count = func(t fleet.Topic) { g.metrics.count("store_calls", map[string]string{"topic": t.String()}) }
+	calls := follow.NewRateLimitedStore(cfg.Store)
+	calls.OnCall = func(t fleet.Topic) { g.metrics.count("store_calls", map[string]string{"topic": t.String()}) }
 	g.store = calls
 	g.self = orders.Holder{Host: s.Host, Incarnation: uuid.Must(uuid.NewV7()).String()}
 	g.log = cfg.Logger.With("host", s.Host, "incarnation", g.self.Incarnation)
--- a/pkg/gateway/list_inner_test.go
+++ b/pkg/gateway/list_inner_test.go
@@ -17,8 +17,8 @@
 	now := g.Now()
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
 	g.applyEndpoints(fleet.Batch{Entries: []fleet.Entry{{Key: "e", Value: []byte("ready")}}})
-	g.directory.StoreState(at(0), false)
-	notice := fleet.Notice{ListSince: 0, ListChange: 1, StoreBackAgo: 1800, ListEntries: []fleet.Entry{{Key: "e", Offset: 1}}}
+	g.directory.SetStoreAvailable(at(0), false)
+	notice := fleet.Notice{ListSince: 0, ListChange: 1, StoreRestoredAgo: 1800, ListEntries: []fleet.Entry{{Key: "e", Offset: 1}}}
 	g.applyListNotice(at(0.1), notice)
 	is.Equal(len(g.directory.Live(at(0.1))), 1) // the entry may still return
 	is.Equal(len(g.directory.Live(at(0.5))), 0)
--- a/pkg/gateway/list_test.go
+++ b/pkg/gateway/list_test.go
@@ -50,7 +50,7 @@
 	known := h.ListOffset()
 	h.HearNotice(fleet.Notice{
 		Holder: "b", Incarnation: "b-1", Addr: "127.0.0.1:9", Token: 99,
-		ListSince: known - 1, ListChange: known, StoreBackAgo: 100,
+		ListSince: known - 1, ListChange: known, StoreRestoredAgo: 100,
 		ListEntries: []fleet.Entry{{Key: "e1", Offset: known}},
 	})
 	is.Equal(h.LiveEndpoints(), 1)
--- a/pkg/gateway/listconfirm_test.go
+++ b/pkg/gateway/listconfirm_test.go
@@ -130,8 +130,8 @@
 
 // send creates a notice for all hosts.
 func (w *listSim) send() {
-	w.controller.storeReads.Answered(fleet.TopicEndpoints, w.now, nil)
-	change := w.controller.directory.Material()
+	w.controller.storeReads.RecordResult(fleet.TopicEndpoints, w.now, nil)
+	change := w.controller.directory.RoutingOffset()
 	n := w.controller.withListChanges(w.now, fleet.Notice{}, w.sentOffset, change)
 	w.sentOffset = change
 	w.notices = append(w.notices, sentNotice{n, w.now})
@@ -205,8 +205,8 @@
 			}
 			controller.applyEndpoints(later)
 			now := controller.Now()
-			controller.storeReads.Answered(fleet.TopicEndpoints, now, nil)
-			n := controller.withListChanges(now, fleet.Notice{}, 0, controller.directory.Material())
+			controller.storeReads.RecordResult(fleet.TopicEndpoints, now, nil)
+			n := controller.withListChanges(now, fleet.Notice{}, 0, controller.directory.RoutingOffset())
 			is.Equal(len(n.ListEntries), c.entries)
 			host.applyListNotice(now, n)
 			is.Equal(len(host.listReadNow) > 0, c.mustRead)
--- a/pkg/gateway/listrace_test.go
+++ b/pkg/gateway/listrace_test.go
@@ -20,7 +20,7 @@
 	relay.applyEndpoints(first)
 	host.applyEndpoints(first) // A host without a list reads the store itself.
 	ask := func() {
-		n := relay.withListChanges(relay.Now(), fleet.Notice{}, host.directory.Offset()-1, relay.directory.Material())
+		n := relay.withListChanges(relay.Now(), fleet.Notice{}, host.directory.Offset()-1, relay.directory.RoutingOffset())
 		host.applyListNotice(host.Now(), n)
 	}
 	var done sync.WaitGroup
@@ -53,7 +53,7 @@
 		}
 	}
 	done.Wait()
-	relay.storeReads.Answered(fleet.TopicEndpoints, relay.Now(), nil)
+	relay.storeReads.RecordResult(fleet.TopicEndpoints, relay.Now(), nil)
 	ask()
 	is.True(host.listConfirmed())
 	is.Equal(usableEndpoints(host, host.Now()), usableEndpoints(relay, relay.Now()))
--- a/pkg/gateway/peerhandler.go
+++ b/pkg/gateway/peerhandler.go
@@ -87,8 +87,8 @@
 // repeat changes from earlier, lost notices: a host that is missing earlier changes reads the
 // store instead, so that it does not keep sending requests to an endpoint that has left.
 func (g *Gateway) applyListNotice(now time.Time, n fleet.Notice) {
-	if n.StoreBackAgo > 0 {
-		g.directory.StoreBack(now.Add(-milliseconds(n.StoreBackAgo)))
+	if n.StoreRestoredAgo > 0 {
+		g.directory.SetStoreRestored(now.Add(-milliseconds(n.StoreRestoredAgo)))
 	}
 	if len(n.ListEntries) > 0 && g.directory.Offset() > n.ListSince {
 		g.applyEndpoints(fleet.Batch{Entries: n.ListEntries})
@@ -101,7 +101,7 @@
 	}
 	g.mesh.confirmList(now.Add(-milliseconds(n.ListAge)))
 	if g.listConfirmed() {
-		g.directory.Confirmed()
+		g.directory.MarkStoreAvailable()
 	}
 }
 
--- a/pkg/gateway/relay_test.go
+++ b/pkg/gateway/relay_test.go
@@ -165,8 +165,8 @@
 			case 0, 1:
 				w.change(t)
 			case 2, 3: // A pull is answered; the response may arrive later or never.
-				hops[0].storeReads.Answered(fleet.TopicEndpoints, w.now, nil)
-				n := from.withListChanges(w.now, fleet.Notice{}, to.directory.Offset()-1, from.directory.Material())
+				hops[0].storeReads.RecordResult(fleet.TopicEndpoints, w.now, nil)
+				n := from.withListChanges(w.now, fleet.Notice{}, to.directory.Offset()-1, from.directory.RoutingOffset())
 				sent[hop] = append(sent[hop], sentNotice{n, w.now})
 			case 4:
 				if i := rapid.IntRange(0, 3).Draw(t, "which"); i < len(sent[hop]) {
--- a/pkg/gateway/staterequest.go
+++ b/pkg/gateway/staterequest.go
@@ -34,7 +34,7 @@
 	if from == fullStateOffset {
 		return slices.Collect(maps.Values(g.cache.endpoints))
 	}
-	for _, id := range g.directory.MaterialSince(from - 1) {
+	for _, id := range g.directory.RoutingChangesSince(from - 1) {
 		if e, ok := g.cache.endpoints[id.Name()]; ok {
 			out = append(out, e)
 		}
--- a/pkg/journal/journal.go
+++ b/pkg/journal/journal.go
@@ -16,8 +16,8 @@
 )
 
 var (
-	// ErrUnsettled means that it is unknown whether the record takes effect.
-	ErrUnsettled = errors.New("outcome of append is unknown")
+	// ErrOutcomeUnknown means that it is unknown whether the record takes effect.
+	ErrOutcomeUnknown = errors.New("outcome of append is unknown")
 	// ErrNotAppended means that the record was not appended and has no effect.
 	ErrNotAppended = errors.New("record not appended")
 )
@@ -55,10 +55,10 @@
 	// reset is closed when the state is replaced by a snapshot.
 	reset chan struct{}
 
-	readable  atomic.Bool
-	writable  atomic.Bool
-	caughtUp  atomic.Bool
-	onApplied func(state.Outcome)
+	logReadable atomic.Bool
+	logWritable atomic.Bool
+	caughtUp    atomic.Bool
+	onApplied   func(state.Outcome)
 }
 
 // New returns a journal. onApplied is called for each applied record in log
@@ -73,15 +73,15 @@
 		reset:     make(chan struct{}),
 		onApplied: onApplied,
 	}
-	j.writable.Store(true)
+	j.logWritable.Store(true)
 	return j
 }
 
-// Readable reports whether the last read of the log succeeded.
-func (j *Journal) Readable() bool { return j.readable.Load() }
+// LogReadable reports whether the last read of the log succeeded.
+func (j *Journal) LogReadable() bool { return j.logReadable.Load() }
 
-// Writable reports whether the last append to the log succeeded.
-func (j *Journal) Writable() bool { return j.writable.Load() }
+// LogWritable reports whether the last append to the log succeeded.
+func (j *Journal) LogWritable() bool { return j.logWritable.Load() }
 
 // CaughtUp reports whether the state has ever reached the end of the log, or of
 // the records of another host.
@@ -99,7 +99,7 @@
 //
 // If the response to an append is lost, Append retries with the same record ID
 // until it reads the record back from the log. The preconditions of the record
-// make a second copy harmless. The error wraps ErrNotAppended, or ErrUnsettled if
+// make a second copy harmless. The error wraps ErrNotAppended, or ErrOutcomeUnknown if
 // ctx ends first or the state is replaced by a snapshot.
 func (j *Journal) Append(ctx context.Context, r record.Record) (state.Outcome, error) {
 	if r.ID == "" {
@@ -113,7 +113,7 @@
 	defer j.removeWaiter(r.ID)
 	for attempt := 0; ; attempt++ {
 		_, err := j.log.Append(ctx, data)
-		j.writable.Store(err == nil || ctx.Err() != nil && j.writable.Load())
+		j.logWritable.Store(err == nil || ctx.Err() != nil && j.logWritable.Load())
 		if attempt == 0 && errors.Is(err, external.ErrInvalid) {
 			return state.Outcome{}, errors.Wrapf(ErrNotAppended, "%v", err)
 		}
@@ -125,9 +125,9 @@
 		case out := <-waiter:
 			return out, nil
 		case <-reset:
-			return state.Outcome{}, errors.Wrap(ErrUnsettled, "state was replaced by a snapshot")
+			return state.Outcome{}, errors.Wrap(ErrOutcomeUnknown, "state was replaced by a snapshot")
 		case <-ctx.Done():
-			return state.Outcome{}, errors.Wrapf(ErrUnsettled, "%v", context.Cause(ctx))
+			return state.Outcome{}, errors.Wrapf(ErrOutcomeUnknown, "%v", context.Cause(ctx))
 		case <-retry:
 		}
 	}
@@ -152,10 +152,10 @@
 func (j *Journal) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := j.readAndApply(ctx, j.log, logReadWait); err == nil {
-			j.readable.Store(true)
+			j.logReadable.Store(true)
 			continue
 		}
-		j.readable.Store(false)
+		j.logReadable.Store(false)
 		if j.peers != nil {
 			if err := j.readAndApply(ctx, j.peers, peerReadWait); err == nil {
 				continue
--- a/pkg/orders/unansweredload_test.go
+++ b/pkg/orders/unansweredload_test.go
@@ -16,12 +16,12 @@
 		is := is.New(t)
 		e := newEngine(130, weights)
 		c := newController(e, 1)
-		born := int64(100)
+		startMillis := int64(100)
 		c.Endpoints = func(time.Time) []fleet.View {
-			return []fleet.View{{Endpoint: fleet.Endpoint{ID: fleet.NewEndpointID("e", born), Service: "llm", OnDisk: []string{"cold", "x", "y"}}}}
+			return []fleet.View{{Endpoint: fleet.Endpoint{ID: fleet.NewEndpointID("e", startMillis), Service: "llm", OnDisk: []string{"cold", "x", "y"}}}}
 		}
 		e.nextLoss = func() loss {
-			if born == 100 && e.sequence == 3 {
+			if startMillis == 100 && e.sequence == 3 {
 				return delayedOrder // the load of the third model, after an unload
 			}
 			return noLoss
@@ -32,7 +32,7 @@
 		is.Equal(e.held(), []string{"x", "y"})
 		steps(ctx, c, 500*time.Millisecond, rare("cold", ""))
 		e.restart()
-		born = 200
+		startMillis = 200
 		report := rare("x", "a1")
 		report.Needs = append(report.Needs, rare("y", "").Needs...)
 		steps(ctx, c, 6*time.Second, report)
--- a/pkg/serve/fake_backend_test.go
+++ b/pkg/serve/fake_backend_test.go
@@ -208,7 +208,7 @@
 func dispatcher(s *serve.Server) *serve.Dispatcher { return s.Queue.(*serve.Dispatcher) }
 
 // request returns a request of the given kind with a deadline of five seconds.
-func request(id string, kind fleet.Kind, resumable bool) *serve.Request {
+func request(id string, kind fleet.RouteKind, resumable bool) *serve.Request {
 	now := time.Now()
 	return &serve.Request{
 		ID:             id,
--- a/pkg/serve/forward.go
+++ b/pkg/serve/forward.go
@@ -149,7 +149,7 @@
 	start := s.Now()
 	w := &stallWatcher{now: s.Now, lastByte: start}
 	route := x.request.Route
-	if !route.Repeatable() || x.result.Runs+1 >= route.Attempts || route.Objective == 0 {
+	if !route.Retryable() || x.result.Runs+1 >= route.Attempts || route.Objective == 0 {
 		// Without an objective, a slow response cannot be told from a stalled endpoint.
 		return w
 	}
@@ -202,7 +202,7 @@
 	}
 }
 
-// progressTimeout returns how long a repeatable request waits for the next byte.
+// progressTimeout returns how long a retryable request waits for the next byte.
 func (x *exchange) progressTimeout() time.Duration {
 	route := x.request.Route
 	if x.headSent {
--- a/pkg/serve/guard_test.go
+++ b/pkg/serve/guard_test.go
@@ -169,7 +169,7 @@
 		b := newFakeBackend("e1")
 		b.setScript("e1", script{lost: true}, script{hang: true}, script{unreachable: true})
 		g := &fakeGuard{}
-		r := request("r", fleet.Once, false)
+		r := request("r", fleet.AtMostOnce, false)
 		s := newGuardedServer(b, g, r)
 		s.Serve(context.Background(), r, &sink{})
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -252,7 +252,7 @@
 					b.setReady()
 				}
 				requestOf := func(account string) *serve.Request {
-					r := request("r", fleet.Once, false)
+					r := request("r", fleet.AtMostOnce, false)
 					r.Account = account
 					return r
 				}
--- a/pkg/serve/rate_limit_test.go
+++ b/pkg/serve/rate_limit_test.go
@@ -68,12 +68,12 @@
 		const pause = 3 * time.Second // longer than a request waits otherwise
 		b.setScript("a", script{pause: pause})
 		var out sink
-		s.Serve(context.Background(), request("r1", fleet.Once, false), &out)
+		s.Serve(context.Background(), request("r1", fleet.AtMostOnce, false), &out)
 		is.True(!out.promisesNotRun())
 		start := time.Now()
 		time.AfterFunc(pause, dispatcher(s).Kick)
 		var next sink
-		s.Serve(context.Background(), request("r2", fleet.Once, false), &next)
+		s.Serve(context.Background(), request("r2", fleet.AtMostOnce, false), &next)
 		is.Equal(next.status, 200)
 		is.True(time.Since(start) >= pause)
 	})
@@ -101,7 +101,7 @@
 		s := newServer(b)
 		b.setScript("a", script{verdict: serve.WrongEndpoint, signals: signals.Response{Draining: true}})
 		var out sink
-		s.Serve(context.Background(), request("r", fleet.Once, false), &out)
+		s.Serve(context.Background(), request("r", fleet.AtMostOnce, false), &out)
 		is.Equal(len(s.Health.Signals.Draining()), 0)
 	})
 }
--- a/pkg/serve/retry_budget_test.go
+++ b/pkg/serve/retry_budget_test.go
@@ -56,7 +56,7 @@
 		s.Budget = retry.NewBudget(retry.Limits{Extra: 1, Window: time.Second}, 1)
 		is.True(s.Budget.Take(time.Now(), "s")) // taken by another request
 		var out sink
-		got := s.Serve(t.Context(), request("r", fleet.Once, false), &out)
+		got := s.Serve(t.Context(), request("r", fleet.AtMostOnce, false), &out)
 		is.True(got.Complete)
 		is.Equal(got.Runs, 1)
 		is.True(got.Waited < time.Second)
@@ -74,7 +74,7 @@
 		s.Budget = retry.NewBudget(retry.Limits{Window: time.Second}, 1)
 		start := time.Now()
 		var out sink
-		got := s.Serve(t.Context(), request("r", fleet.Once, false), &out)
+		got := s.Serve(t.Context(), request("r", fleet.AtMostOnce, false), &out)
 		is.Equal(got.Refusal.Cause, serve.CauseBudget)
 		is.True(out.promisesNotRun())
 		is.Equal(len(b.sends), 1)
--- a/pkg/serve/serve_test.go
+++ b/pkg/serve/serve_test.go
@@ -19,7 +19,7 @@
 
 // A request that may run once must not be sent again after its response was lost, and its
 // client must not be told that it has not run.
-func TestNonRepeatableRequestIsNeverResent(t *testing.T) {
+func TestNonRetryableRequestIsNeverResent(t *testing.T) {
 	for _, s := range []script{{lost: true}, {hang: true}, {status: 500}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -27,7 +27,7 @@
 			b.setScript("a", s)
 			b.setScript("b", s)
 			var out sink
-			newServer(b).Serve(context.Background(), request("r", fleet.Once, false), &out)
+			newServer(b).Serve(context.Background(), request("r", fleet.AtMostOnce, false), &out)
 			is.Equal(len(b.runs["r"]), 1)
 			is.True(!out.promisesNotRun())
 		})
@@ -162,7 +162,7 @@
 		b.coldReadyAt = time.Now().Add(time.Minute)
 		s := newServer(b)
 		var out sink
-		r := s.Serve(context.Background(), request("r", fleet.Once, false), &out)
+		r := s.Serve(context.Background(), request("r", fleet.AtMostOnce, false), &out)
 		is.True(out.promisesNotRun())
 		is.Equal(r.Total, time.Duration(0))
 		dispatcher(s).Demand()
@@ -186,7 +186,7 @@
 			b.setReady("a")
 			dispatcher(s).Kick()
 		}()
-		r := s.Serve(context.Background(), request("r", fleet.Once, false), &out)
+		r := s.Serve(context.Background(), request("r", fleet.AtMostOnce, false), &out)
 		is.Equal(out.status, 200)
 		is.Equal(r.Waited, time.Second)
 	})
@@ -204,7 +204,7 @@
 			dispatcher(s).CloseAt(start.Add(time.Second))
 		}()
 		var out sink
-		s.Serve(context.Background(), request("r", fleet.Once, false), &out)
+		s.Serve(context.Background(), request("r", fleet.AtMostOnce, false), &out)
 		is.True(out.promisesNotRun())
 		is.True(out.refusal.RetryAfter > 0)
 		is.True(time.Since(start) <= 1500*time.Millisecond)
@@ -272,7 +272,7 @@
 // request has not run is true, and each client gets exactly one response.
 func TestRunLimitsAndRefusals(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		kind := rapid.SampledFrom([]fleet.Kind{fleet.Idempotent, fleet.Once, fleet.Stream}).Draw(rt, "kind")
+		kind := rapid.SampledFrom([]fleet.RouteKind{fleet.Idempotent, fleet.AtMostOnce, fleet.Stream}).Draw(rt, "kind")
 		resumable := rapid.Bool().Draw(rt, "resumable")
 		attempts := rapid.IntRange(1, 3).Draw(rt, "attempts")
 		draw := func(id string) []script {
@@ -301,7 +301,7 @@
 			var out sink
 			newServer(b).Serve(context.Background(), req, &out)
 			runs := len(b.runs["r"])
-			if !req.Route.Repeatable() && runs > 1 {
+			if !req.Route.Retryable() && runs > 1 {
 				rt.Fatalf("request that may run once ran %d times", runs)
 			}
 			if runs > attempts {
@@ -320,19 +320,19 @@
 	})
 }
 
-// A repeatable request whose response was lost must be sent again to the only endpoint with
+// A retryable request whose response was lost must be sent again to the only endpoint with
 // its model, unless the endpoint still holds it.
 func TestLostResponseIsDetected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status serve.Run
-		kind   fleet.Kind
+		kind   fleet.RouteKind
 		sent   int
 	}{
 		{"endpoint no longer holds the request", serve.Run{}, fleet.Stream, 2},
 		{"endpoint started to respond", serve.Run{Held: true, Begun: true}, fleet.Stream, 2},
 		{"request waits at the endpoint", serve.Run{Held: true}, fleet.Stream, 1},
-		{"request may run only once", serve.Run{}, fleet.Once, 1},
+		{"request may run only once", serve.Run{}, fleet.AtMostOnce, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/pkg/serve/server.go
+++ b/pkg/serve/server.go
@@ -22,7 +22,7 @@
 	// bufferedBodyBytes is the size up to which the body of a non-streaming response is read
 	// before its head is forwarded. A response that breaks off earlier can be retried.
 	bufferedBodyBytes = 64 << 10
-	// The first-byte timeout of a repeatable request is the larger of firstByteObjectives
+	// The first-byte timeout of a retryable request is the larger of firstByteObjectives
 	// objectives and firstByteServiceTimes average service times.
 	firstByteObjectives   = 2.5
 	firstByteServiceTimes = 6
@@ -30,7 +30,7 @@
 	// they wait in the queue of an endpoint.
 	minFirstByteTimeout = 600 * time.Millisecond
 	// checkRunAfter is the time without a first byte after which the endpoint is queried for
-	// the state of a repeatable request. It doubles with each query. checkRunTimeout limits
+	// the state of a retryable request. It doubles with each query. checkRunTimeout limits
 	// one query.
 	checkRunAfter   = time.Second
 	checkRunTimeout = 700 * time.Millisecond
@@ -249,7 +249,7 @@
 
 // mayRunAgain reports whether the request may be sent again after it may have run.
 func (x *exchange) mayRunAgain(ctx context.Context) bool {
-	return x.request.Route.Repeatable() &&
+	return x.request.Route.Retryable() &&
 		x.result.Runs < x.request.Route.Attempts &&
 		!x.suspected() &&
 		ctx.Err() == nil &&
