--- a/pkg/entryhost/fake_cluster_test.go
+++ b/pkg/entryhost/fake_cluster_test.go
@@ -298,11 +298,11 @@
 	if to == nil || to.dead.Load() || h.dead.Load() {
 		return nil, external.ErrUnavailable
 	}
-	answer := peer.Answer(peerHandler{to.Host}, r)
-	if len(answer) == 0 {
+	responses := peer.Handle(peerHandler{to.Host}, r)
+	if len(responses) == 0 {
 		return nil, external.ErrUnavailable
 	}
-	return answer, nil
+	return responses, nil
 }
 
 // publish appends a contract directly to the log.
--- a/pkg/entryhost/load_test.go
+++ b/pkg/entryhost/load_test.go
@@ -278,7 +278,7 @@
 	})
 }
 
-// Guards against a new pool owner that considers unlisted or not yet probed endpoints lost and
+// Guards against a new pool owner that considers unlisted or not yet checked endpoints lost and
 // unloads their replicas.
 func TestTakeoverKeepsReplicas(t *testing.T) {
 	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
--- a/pkg/entryhost/loops.go
+++ b/pkg/entryhost/loops.go
@@ -93,11 +93,11 @@
 	}
 }
 
-// runMembership polls the platform's host list and probes endpoints.
+// runMembership polls the platform's host list and checks the health of endpoints.
 func (h *Host) runMembership(ctx context.Context) {
-	var probes sync.WaitGroup
-	defer probes.Wait()
-	probes.Go(func() { every(ctx, h.settings.Timing.Probe, h.probeAll) })
+	var checks sync.WaitGroup
+	defer checks.Wait()
+	checks.Go(func() { every(ctx, h.settings.Timing.Probe, h.checkAllHealth) })
 	every(ctx, h.settings.Timing.HostListPoll, h.pollHostList)
 }
 
@@ -108,7 +108,7 @@
 		return
 	}
 	h.membersMu.Lock()
-	draining := h.members.Listed(h.now(), hosts)
+	draining := h.members.ApplyList(h.now(), hosts)
 	h.listed = hosts
 	h.membersMu.Unlock()
 	if len(draining) > 0 {
@@ -144,7 +144,7 @@
 		live := h.watch.Live(now, s.HostRef)
 		h.watchMu.Unlock()
 		h.membersMu.Lock()
-		unlisted := h.members.EntryGone(now, s.Host)
+		unlisted := h.members.HostLost(now, s.Host)
 		h.membersMu.Unlock()
 		if s.PeerAddr == h.peerAddr || !live && unlisted {
 			_ = h.appendWithTimeout(ctx, record.Record{Gone: &record.HostGone{HostRef: s.HostRef}})
@@ -152,11 +152,11 @@
 	}
 }
 
-// probeAll requests the status of the endpoints in pools that this host owns and of those that it
+// checkAllHealth requests the status of the endpoints in pools that this host owns and of those that it
 // sends requests to.
-func (h *Host) probeAll(ctx context.Context) {
+func (h *Host) checkAllHealth(ctx context.Context) {
 	h.membersMu.Lock()
-	targets := h.members.Targets()
+	targets := h.members.HealthCheckTargets()
 	h.membersMu.Unlock()
 	used := h.usedEndpoints()
 	var group sync.WaitGroup
@@ -165,16 +165,16 @@
 		if t.Pool == "" || owner != h.self && !used[t.Name] {
 			continue
 		}
-		group.Go(func() { h.probe(ctx, t) })
+		group.Go(func() { h.checkHealth(ctx, t) })
 	}
 	group.Wait()
 }
 
-func (h *Host) probe(ctx context.Context, t external.ListedHost) {
+func (h *Host) checkHealth(ctx context.Context, t external.ListedHost) {
 	status, err := h.engine.Status(ctx, t.Addr)
 	now := h.now()
 	h.membersMu.Lock()
-	h.members.Probed(now, t.Name, status, err)
+	h.members.RecordHealthCheck(now, t.Name, status, err)
 	h.membersMu.Unlock()
 	for _, r := range status.Replicas {
 		h.queues.NoteLoad(now, t.Pool, r.Model, string(r.ID), r.Running)
--- a/pkg/entryhost/operators.go
+++ b/pkg/entryhost/operators.go
@@ -154,7 +154,7 @@
 func (a operatorsAPI) poolMemory() map[string]int64 {
 	sums := map[string]int64{}
 	a.host.membersMu.Lock()
-	for _, l := range a.host.members.Targets() {
+	for _, l := range a.host.members.HealthCheckTargets() {
 		if l.Pool != "" {
 			sums[l.Pool] += 0
 		}
--- a/pkg/entryhost/pool_runner.go
+++ b/pkg/entryhost/pool_runner.go
@@ -123,9 +123,9 @@
 	defer pr.host.membersMu.Unlock()
 	if pr.epoch != epoch {
 		pr.epoch, pr.since = epoch, now
-		pr.host.members.Know(now, recordedEndpoints(pr.host.state.Pools.Get(pr.name)))
+		pr.host.members.AddKnown(now, recordedEndpoints(pr.host.state.Pools.Get(pr.name)))
 	}
-	pr.ctrl.Observe(pr.host.members.Pool(pr.name, pr.since))
+	pr.ctrl.Observe(pr.host.members.PoolObservations(pr.name, pr.since))
 }
 
 // recordedEndpoints returns the endpoints of a pool in the replicated state that are not lost.
--- a/pkg/entryhost/replicas.go
+++ b/pkg/entryhost/replicas.go
@@ -92,7 +92,7 @@
 		}
 	}
 	h.membersMu.Lock()
-	for _, e := range h.members.Targets() {
+	for _, e := range h.members.HealthCheckTargets() {
 		live[fleet.EndpointID(e.Name)] = true
 	}
 	h.membersMu.Unlock()
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -118,11 +118,11 @@
 	g.mergeSignals(now, p.Signals)
 	ch := g.children.register(p.Demand)
 	spacing := relay.Spacing(g.children.count(), g.settings.cores())
-	pace := relay.Question{Asked: now, Answered: ch.responded}
+	timing := relay.PullTiming{ReceivedAt: now, PreviousResponseAt: ch.responded}
 	for {
 		changed, urgent := g.locator.ChangedFor(g.self.Incarnation, p, ch.waiting)
 		urgent = urgent || g.currentVersions().anyNewerThan(ch.sent)
-		remaining := pace.Answer(changed, urgent, spacing).Sub(g.Now())
+		remaining := timing.RespondAt(changed, urgent, spacing).Sub(g.Now())
 		if remaining <= 0 {
 			break
 		}
--- a/pkg/gateway/list_inner_test.go
+++ b/pkg/gateway/list_inner_test.go
@@ -26,7 +26,7 @@
 
 // Guards against sending entries with mere heartbeats in state answers, which would waste
 // bandwidth.
-func TestStateAnswerOmitsHeartbeats(t *testing.T) {
+func TestStateResponseOmitsHeartbeats(t *testing.T) {
 	is := is.New(t)
 	g := listHost(time.Minute)
 	entry := func(key string, offset int64, state string) fleet.Entry {
@@ -34,9 +34,9 @@
 	}
 	g.applyEndpoints(fleet.Batch{Entries: []fleet.Entry{entry("a", 0, "ready"), entry("b", 1, "ready")}})
 	g.applyEndpoints(fleet.Batch{Entries: []fleet.Entry{entry("a", 2, "ready"), entry("b", 3, "leaving"), entry("b", 4, "leaving")}})
-	is.Equal(g.answerState(peer.StateRequest{EndpointsFrom: 2}).Endpoints, []fleet.Entry{entry("b", 4, "leaving")})
-	is.Equal(len(g.answerState(peer.StateRequest{EndpointsFrom: 4}).Endpoints), 0)
-	is.Equal(len(g.answerState(peer.StateRequest{EndpointsFrom: fullStateOffset}).Endpoints), 2)
+	is.Equal(g.respondState(peer.StateRequest{EndpointsFrom: 2}).Endpoints, []fleet.Entry{entry("b", 4, "leaving")})
+	is.Equal(len(g.respondState(peer.StateRequest{EndpointsFrom: 4}).Endpoints), 0)
+	is.Equal(len(g.respondState(peer.StateRequest{EndpointsFrom: fullStateOffset}).Endpoints), 2)
 }
 
 // Guards against most state requests crossing availability zones, and against none doing so.
--- a/pkg/gateway/mesh.go
+++ b/pkg/gateway/mesh.go
@@ -113,7 +113,7 @@
 	}
 	if ok && old.Fingerprint != e.Fingerprint {
 		delete(m.pinned, old.Fingerprint)
-		m.node.Forget(old.Addr)
+		m.node.RemoveConn(old.Addr)
 	}
 	m.peers[host] = e
 	clear(m.upstreamCache)
--- a/pkg/gateway/peerhandler.go
+++ b/pkg/gateway/peerhandler.go
@@ -18,7 +18,7 @@
 		// The store has rejected this host, so its entry was never written. It may read the
 		// shared state, but nothing that it reports is used.
 		if r.State != nil {
-			response.State = g.answerState(*r.State)
+			response.State = g.respondState(*r.State)
 		}
 		return []peer.Response{response}
 	}
@@ -29,7 +29,7 @@
 		now = g.Now()
 		response.ConfigVersion = g.configVersion()
 	case r.State != nil:
-		response.State = g.answerState(*r.State)
+		response.State = g.respondState(*r.State)
 	}
 	claim := g.election.Newest()
 	response.Claim = &claim
--- a/pkg/gateway/peerselect.go
+++ b/pkg/gateway/peerselect.go
@@ -130,7 +130,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.relayRole == nil {
-		is := relay.Relaying(m.member, m.members())
+		is := relay.IsRelay(m.member, m.members())
 		m.relayRole = &is
 	}
 	return *m.relayRole
--- a/pkg/gateway/pull.go
+++ b/pkg/gateway/pull.go
@@ -26,8 +26,8 @@
 	// maxPulls bounds the pulls in flight: one that waits for a change, and others that report
 	// new demand meanwhile.
 	maxPulls = 3
-	// pullTimeout bounds a pull, which the upstream host holds for up to relay.MaxHold.
-	pullTimeout = relay.MaxHold + 250*time.Millisecond
+	// pullTimeout bounds a pull, which the upstream host holds for up to relay.MaxPullHold.
+	pullTimeout = relay.MaxPullHold + 250*time.Millisecond
 	// maxNoticeAge is the age of an upstream host's last contact with the controller after
 	// which the host counts as cut off and the next one is used.
 	maxNoticeAge = 900 * time.Millisecond
--- a/pkg/gateway/relay_test.go
+++ b/pkg/gateway/relay_test.go
@@ -53,7 +53,7 @@
 	}{
 		{"a model with waiting requests", "m", "m", 100 * time.Millisecond},
 		{"another model", "m", "n", 108 * time.Millisecond},
-		{"no change", "m", "", relay.MaxHold},
+		{"no change", "m", "", relay.MaxPullHold},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/pkg/gateway/staterequest.go
+++ b/pkg/gateway/staterequest.go
@@ -10,13 +10,13 @@
 	"github.com/tealvane/tealvane/pkg/peer"
 )
 
-// answerState answers a state request of a host that cannot read the store.
-func (g *Gateway) answerState(r peer.StateRequest) *peer.StateAnswer {
+// respondState answers a state request of a host that cannot read the store.
+func (g *Gateway) respondState(r peer.StateRequest) *peer.StateResponse {
 	g.listMu.Lock()
 	defer g.listMu.Unlock()
 	g.cache.mu.Lock()
 	defer g.cache.mu.Unlock()
-	out := &peer.StateAnswer{EndpointsNext: g.directory.Offset()}
+	out := &peer.StateResponse{EndpointsNext: g.directory.Offset()}
 	if c := g.config.Load(); c != nil && c.Version > r.ConfigVersion {
 		config := g.cache.config
 		out.Config = &config
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -26,7 +26,7 @@
 type Tracker struct {
 	members  map[string]*member
 	draining map[DrainingEndpoint]bool
-	// hostListedAt is when each entry host was last listed, or when EntryGone was first called
+	// hostListedAt is when each entry host was last listed, or when HostLost was first called
 	// for it.
 	hostListedAt map[string]time.Time
 }
@@ -38,8 +38,8 @@
 	listed    bool
 	// lastSeen is when the endpoint was last listed or reachable.
 	lastSeen time.Time
-	// probedAt is the time of the last successful health check.
-	probedAt time.Time
+	// healthCheckedAt is the time of the last successful health check.
+	healthCheckedAt time.Time
 }
 
 // NewTracker returns an empty tracker.
@@ -47,9 +47,9 @@
 	return &Tracker{members: map[string]*member{}, draining: map[DrainingEndpoint]bool{}, hostListedAt: map[string]time.Time{}}
 }
 
-// Listed applies the platform's list. It returns the incarnations that were not known to be
+// ApplyList applies the platform's list. It returns the incarnations that were not known to be
 // draining before.
-func (t *Tracker) Listed(now time.Time, list []external.ListedHost) []DrainingEndpoint {
+func (t *Tracker) ApplyList(now time.Time, list []external.ListedHost) []DrainingEndpoint {
 	for _, m := range t.members {
 		m.listed = false
 	}
@@ -76,8 +76,8 @@
 	return newlyDraining
 }
 
-// EntryGone reports whether an entry host has been unlisted for longer than LostAfter.
-func (t *Tracker) EntryGone(now time.Time, name string) bool {
+// HostLost reports whether an entry host has been unlisted for longer than LostAfter.
+func (t *Tracker) HostLost(now time.Time, name string) bool {
 	listedAt, known := t.hostListedAt[name]
 	if !known {
 		t.hostListedAt[name] = now
@@ -86,10 +86,10 @@
 	return now.Sub(listedAt) > LostAfter
 }
 
-// Know adds endpoints known from another source, so that they are health-checked. Otherwise a
+// AddKnown adds endpoints known from another source, so that they are health-checked. Otherwise a
 // new pool owner would treat an endpoint and its replicas as lost if the list omits it for a
 // moment.
-func (t *Tracker) Know(now time.Time, hosts []external.ListedHost) {
+func (t *Tracker) AddKnown(now time.Time, hosts []external.ListedHost) {
 	for _, h := range hosts {
 		if t.members[h.Name] == nil {
 			t.members[h.Name] = &member{host: h, lastSeen: now}
@@ -108,8 +108,8 @@
 	return true
 }
 
-// Probed records the result of an endpoint's health check.
-func (t *Tracker) Probed(now time.Time, name string, status external.EngineStatus, err error) {
+// RecordHealthCheck records the result of an endpoint's health check.
+func (t *Tracker) RecordHealthCheck(now time.Time, name string, status external.EngineStatus, err error) {
 	m := t.members[name]
 	if m == nil {
 		return
@@ -118,7 +118,7 @@
 	if m.reachable {
 		m.status = status
 		m.lastSeen = now
-		m.probedAt = now
+		m.healthCheckedAt = now
 	}
 }
 
@@ -147,8 +147,8 @@
 	return t.draining[DrainingEndpoint{m.host.Name, m.host.Incarnation}]
 }
 
-// Targets returns the endpoints to health-check, ordered by name.
-func (t *Tracker) Targets() []external.ListedHost {
+// HealthCheckTargets returns the endpoints to health-check, ordered by name.
+func (t *Tracker) HealthCheckTargets() []external.ListedHost {
 	var hosts []external.ListedHost
 	for _, name := range slices.Sorted(maps.Keys(t.members)) {
 		hosts = append(hosts, t.members[name].host)
@@ -190,17 +190,17 @@
 	return hosts
 }
 
-// Pool returns the observations of a pool's endpoints for the pool's owner. A status from
+// PoolObservations returns the observations of a pool's endpoints for the pool's owner. A status from
 // before since is omitted, because it may predate loads ordered by the previous owner. Such an
 // endpoint is reported without an incarnation, which only shows that it is not lost.
-func (t *Tracker) Pool(name string, since time.Time) []pool.Observation {
+func (t *Tracker) PoolObservations(name string, since time.Time) []pool.Observation {
 	var list []pool.Observation
 	for _, endpoint := range slices.Sorted(maps.Keys(t.members)) {
 		m := t.members[endpoint]
 		if m.host.Pool != name {
 			continue
 		}
-		if m.probedAt.Before(since) {
+		if m.healthCheckedAt.Before(since) {
 			list = append(list, pool.Observation{
 				EndpointSeen: record.EndpointSeen{Endpoint: endpoint},
 				Draining:     t.memberDraining(m),
--- a/pkg/peer/handler.go
+++ b/pkg/peer/handler.go
@@ -7,12 +7,12 @@
 
 // HandlerResponder returns a Responder that passes requests to a handler.
 func HandlerResponder(h Handler) Responder {
-	return func(r Request) []Response { return Answer(h, r) }
+	return func(r Request) []Response { return Handle(h, r) }
 }
 
-// Answer passes a request to a handler and returns its responses. An unknown kind of request
+// Handle passes a request to a handler and returns its responses. An unknown kind of request
 // gets one empty response; after an error of the handler there is no response.
-func Answer(h Handler, r Request) []Response {
+func Handle(h Handler, r Request) []Response {
 	switch {
 	case r.Usage != nil:
 		h.HandleUsage(*r.Usage)
@@ -20,14 +20,14 @@
 		h.HandleDrain(*r.Drain)
 	case r.Tail != nil:
 		r.Tail.Limit = min(r.Tail.Limit, maxTail)
-		return answerTail(h, *r.Tail)
+		return handleTail(h, *r.Tail)
 	case r.Snapshot:
-		return answerSnapshot(h)
+		return handleSnapshot(h)
 	}
 	return []Response{{}}
 }
 
-func answerTail(h Handler, r TailRequest) []Response {
+func handleTail(h Handler, r TailRequest) []Response {
 	entries, err := h.HandleTail(r)
 	var trimmed *external.TrimmedError
 	if errors.As(err, &trimmed) {
@@ -47,7 +47,7 @@
 	return []Response{{Entries: entries}}
 }
 
-func answerSnapshot(h Handler) []Response {
+func handleSnapshot(h Handler) []Response {
 	chunks, err := h.HandleSnapshot()
 	if err != nil {
 		return nil
--- a/pkg/peer/message.go
+++ b/pkg/peer/message.go
@@ -45,8 +45,8 @@
 	EndpointsFrom int64 `cbor:"2,keyasint"`
 }
 
-// StateAnswer holds entries as stored.
-type StateAnswer struct {
+// StateResponse holds entries as stored.
+type StateResponse struct {
 	Config    *fleet.Entry  `cbor:"1,keyasint,omitempty"`
 	Endpoints []fleet.Entry `cbor:"2,keyasint,omitempty"`
 	// EndpointsNext is the offset up to which Endpoints is complete.
@@ -81,8 +81,8 @@
 	// Claim is the newest controller claim known to the responding host.
 	Claim *orders.Claim `cbor:"5,keyasint,omitempty"`
 	// Controlling reports whether the responding host holds that claim.
-	Controlling bool         `cbor:"6,keyasint,omitempty"`
-	State       *StateAnswer `cbor:"7,keyasint,omitempty"`
+	Controlling bool           `cbor:"6,keyasint,omitempty"`
+	State       *StateResponse `cbor:"7,keyasint,omitempty"`
 	// ConfigVersion is the configuration version in use at the responding host.
 	ConfigVersion int64 `cbor:"8,keyasint,omitempty"`
 	// HolderHeartbeatAge is the time in milliseconds since the responding host heard from the holder
--- a/pkg/peer/node.go
+++ b/pkg/peer/node.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// Forget removes the connection to an address, for use when another host has taken the address
+// RemoveConn removes the connection to an address, for use when another host has taken the address
 // over.
-func (n *Node) Forget(addr string) {
+func (n *Node) RemoveConn(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, addr)
@@ -187,7 +187,7 @@
 		}
 		responses = append(responses, r)
 	}
-	return nil, errors.Wrap(ErrMessage, "response has too many messages")
+	return nil, errors.Wrap(ErrInvalidMessage, "response has too many messages")
 }
 
 // dial returns the open connection to an address, or opens a new one.
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -76,9 +76,9 @@
 	is.Equal(len(chunks), 2)
 
 	// A request of an unknown kind gets an empty response.
-	answer, err := client.Send(context.Background(), server.Addr(), Request{})
+	responses, err := client.Send(context.Background(), server.Addr(), Request{})
 	is.NoErr(err)
-	is.Equal(len(answer), 1)
+	is.Equal(len(responses), 1)
 }
 
 // Guards against handling requests of a sender whose certificate is signed by another
@@ -105,7 +105,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var request Request
 		if err := readFrame(bytes.NewReader(data), &request); err == nil {
-			Answer(fakeHandler{usage: make(chan UsageReport, 1)}, request)
+			Handle(fakeHandler{usage: make(chan UsageReport, 1)}, request)
 		}
 		var response Response
 		_ = readFrame(bytes.NewReader(data), &response)
--- a/pkg/peer/reader.go
+++ b/pkg/peer/reader.go
@@ -48,17 +48,17 @@
 	var best []external.Entry
 	err := error(ErrNoPeer)
 	for _, addr := range r.Addrs() {
-		answer, sendErr := r.Peers.Send(ctx, addr, Request{Tail: &TailRequest{From: from, Limit: limit}})
+		responses, sendErr := r.Peers.Send(ctx, addr, Request{Tail: &TailRequest{From: from, Limit: limit}})
 		if sendErr != nil {
 			continue
 		}
-		if first := answer[0].TrimmedFirst; first != 0 {
+		if first := responses[0].TrimmedFirst; first != 0 {
 			if len(best) == 0 {
 				err = &external.TrimmedError{First: first}
 			}
 			continue
 		}
-		if entries := answer[0].Entries; best == nil || len(entries) > len(best) {
+		if entries := responses[0].Entries; best == nil || len(entries) > len(best) {
 			best, err = entries, nil
 		}
 	}
@@ -69,12 +69,12 @@
 func (r Reader) Snapshot(ctx context.Context) ([]record.Snapshot, error) {
 	var best []record.Snapshot
 	for _, addr := range r.Addrs() {
-		answer, err := r.Peers.Send(ctx, addr, Request{Snapshot: true})
-		if err != nil || answer[0].Chunk == nil {
+		responses, err := r.Peers.Send(ctx, addr, Request{Snapshot: true})
+		if err != nil || responses[0].Chunk == nil {
 			continue
 		}
-		chunks := make([]record.Snapshot, 0, len(answer))
-		for _, a := range answer {
+		chunks := make([]record.Snapshot, 0, len(responses))
+		for _, a := range responses {
 			if a.Chunk != nil {
 				chunks = append(chunks, *a.Chunk)
 			}
--- a/pkg/pool/messages.go
+++ b/pkg/pool/messages.go
@@ -58,7 +58,7 @@
 	record.EndpointSeen
 	// Draining is set if the endpoint must get no new replicas.
 	Draining bool
-	// Reachable is set if the endpoint answered the last probe. Loaded is taken from that
+	// Reachable is set if the endpoint answered the last health check. Loaded is taken from that
 	// answer.
 	Reachable bool
 	Loaded    []record.ReplicaID
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -175,10 +175,10 @@
 }
 
 // Urgent changes are answered at once, other changes are spaced by the load of the relay, and
-// unchanged state is answered after MaxHold.
-func TestAnswerSpacing(t *testing.T) {
+// unchanged state is answered after MaxPullHold.
+func TestResponseSpacing(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
-	q := relay.Question{Asked: at(100), Answered: at(90)}
+	timing := relay.PullTiming{ReceivedAt: at(100), PreviousResponseAt: at(90)}
 	for _, c := range []struct {
 		name            string
 		changed, urgent bool
@@ -191,11 +191,11 @@
 		{"another model, at a busy relay", true, false, time.Second, at(350)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			is.New(t).Equal(q.Answer(c.changed, c.urgent, c.spacing), c.want)
+			is.New(t).Equal(timing.RespondAt(c.changed, c.urgent, c.spacing), c.want)
 		})
 	}
 	is := is.New(t)
 	is.True(relay.Spacing(8, 0.4) < 30*time.Millisecond)
-	is.True(relay.Spacing(58, 0.192) == relay.MaxHold)
+	is.True(relay.Spacing(58, 0.192) == relay.MaxPullHold)
 	is.True(slices.Contains([]time.Duration{relay.Spacing(0, 0)}, 8*time.Millisecond))
 }
--- a/pkg/relay/tree.go
+++ b/pkg/relay/tree.go
@@ -64,8 +64,8 @@
 	return append(out, controller)
 }
 
-// Relaying reports whether the host is a relay or a fallback relay of its zone.
-func Relaying(self Member, hosts []Member) bool {
+// IsRelay reports whether the host is a relay or a fallback relay of its zone.
+func IsRelay(self Member, hosts []Member) bool {
 	zone := zoneOrder(self.Zone, "", hosts)
 	rank := slices.IndexFunc(zone, func(m Member) bool { return m.Name == self.Name })
 	return rank < relayCount(zone)+fallbackRelays
