--- a/pkg/completion/answer.go
+++ b/pkg/completion/answer.go
@@ -110,7 +110,7 @@
 }
 
 // Begin implements serve.Sink.
-func (s *tokenSink) Begin(*serve.Answer) {
+func (s *tokenSink) Begin(*serve.Response) {
 	r := s.state.runner
 	if !s.state.replayed {
 		r.cfg.Meter.Answered(s.state.call.Model.Name, s.state.coldStart, r.cfg.Now().Sub(s.started))
@@ -179,7 +179,7 @@
 }
 
 // Begin implements serve.Sink.
-func (s *bodySink) Begin(*serve.Answer) {}
+func (s *bodySink) Begin(*serve.Response) {}
 
 // Write implements serve.Sink.
 func (s *bodySink) Write(p []byte) error {
--- a/pkg/completion/backend.go
+++ b/pkg/completion/backend.go
@@ -19,7 +19,7 @@
 
 // Send implements serve.Backend. It claims the idempotency key before the first
 // send and replays the recorded response of a call that has already run.
-func (b backend) Send(ctx context.Context, r *serve.Request, s serve.Send) (*serve.Answer, error) {
+func (b backend) Send(ctx context.Context, r *serve.Request, s serve.Send) (*serve.Response, error) {
 	st := r.Wire.(*callState)
 	outcome, refusal := st.claim(ctx)
 	if refusal != nil {
@@ -43,11 +43,11 @@
 	return &serve.Refusal{Cause: causeKey, NotRun: r.NotRun(), RetryAfter: r.RetryAfter, Detail: r}
 }
 
-func newAnswer(body io.ReadCloser) *serve.Answer {
-	return &serve.Answer{Verdict: serve.Answered, Status: http.StatusOK, Body: body}
+func newAnswer(body io.ReadCloser) *serve.Response {
+	return &serve.Response{Class: serve.Completed, Status: http.StatusOK, Body: body}
 }
 
-func (b backend) generate(ctx context.Context, st *callState, s serve.Send) (*serve.Answer, error) {
+func (b backend) generate(ctx context.Context, st *callState, s serve.Send) (*serve.Response, error) {
 	next, err := resumeFrom(s.LastEvent)
 	if err != nil {
 		return nil, errors.Mark(err, serve.ErrNotSent)
@@ -70,13 +70,13 @@
 
 // classifyError maps an error of external.Engine to an answer or to the errors
 // of package serve, depending on whether the call may have run.
-func classifyError(err error) (*serve.Answer, error) {
+func classifyError(err error) (*serve.Response, error) {
 	var retryAfterErr *external.RetryAfterError
 	switch {
 	case errors.As(err, &retryAfterErr):
-		return &serve.Answer{Verdict: serve.Full, Signals: signals.Response{RetryAfter: retryAfterErr.RetryAfter}, Body: http.NoBody}, nil
+		return &serve.Response{Class: serve.Overloaded, Signals: signals.Response{RetryAfter: retryAfterErr.RetryAfter}, Body: http.NoBody}, nil
 	case errors.Is(err, external.ErrNotLoaded):
-		return &serve.Answer{Verdict: serve.NotHeld, Body: http.NoBody}, nil
+		return &serve.Response{Class: serve.NotLoaded, Body: http.NoBody}, nil
 	case errors.Is(err, external.ErrRefused):
 		return nil, errors.Mark(errors.Mark(err, serve.ErrNotSent), serve.ErrUnreachable)
 	case errors.Is(err, external.ErrRejected):
@@ -95,7 +95,7 @@
 	}
 }
 
-func (b backend) callService(ctx context.Context, st *callState, s serve.Send) (*serve.Answer, error) {
+func (b backend) callService(ctx context.Context, st *callState, s serve.Send) (*serve.Response, error) {
 	response, err := b.runner.cfg.Engine.Call(ctx, s.Endpoint.Addr, external.ServiceCall{
 		RequestID: st.call.RequestID,
 		Service:   st.call.Model.Name,
@@ -107,8 +107,8 @@
 	return newAnswer(io.NopCloser(bytes.NewReader(response.Body))), nil
 }
 
-// Run implements serve.Backend. These engines do not report the state of single
+// RunStatus implements serve.Backend. These engines do not report the state of single
 // calls, so the call is taken as held.
-func (b backend) Run(context.Context, *serve.Request, fleet.Endpoint) (serve.Run, error) {
-	return serve.Run{Held: true}, nil
+func (b backend) RunStatus(context.Context, *serve.Request, fleet.Endpoint) (serve.RunStatus, error) {
+	return serve.RunStatus{Active: true}, nil
 }
--- a/pkg/completion/call.go
+++ b/pkg/completion/call.go
@@ -56,16 +56,16 @@
 // request returns the call as a request of package serve.
 func (c Call) request(now time.Time, state *callState) *serve.Request {
 	r := &serve.Request{
-		ID:             c.RequestID,
-		Fingerprint:    fleet.NewFingerprint(c.Customer, c.Model.Name, c.Prompt, string(c.Body)),
-		Route:          fleet.Route{Name: c.Model.Name, Kind: fleet.Stream, Resumable: !c.Model.NonIdempotent, Attempts: maxAttempts},
-		Service:        c.Model.Pool,
-		Model:          c.Model.Name,
-		Arrived:        now,
-		Deadline:       c.Deadline,
-		ClientDeadline: c.Deadline,
-		StartOnly:      true,
-		Wire:           state,
+		ID:                  c.RequestID,
+		Fingerprint:         fleet.NewFingerprint(c.Customer, c.Model.Name, c.Prompt, string(c.Body)),
+		Route:               fleet.Route{Name: c.Model.Name, Kind: fleet.Stream, Resumable: !c.Model.NonIdempotent, Attempts: maxAttempts},
+		Service:             c.Model.Pool,
+		Model:               c.Model.Name,
+		Arrived:             now,
+		Deadline:            c.Deadline,
+		ClientDeadline:      c.Deadline,
+		DeadlineIsStartOnly: true,
+		Wire:                state,
 	}
 	if !c.Model.Loadable() {
 		r.Service, r.Model = c.Model.Name, ""
--- a/pkg/emulator/dispatch.go
+++ b/pkg/emulator/dispatch.go
@@ -10,7 +10,7 @@
 // dispatch starts waiting requests on endpoints with a free slot. Of the others it
 // refuses those that are not worth holding.
 func (sim *simulation) dispatch() {
-	slices.SortStableFunc(sim.waiting, func(a, b *request) int { return a.Aim().Compare(b.Aim()) })
+	slices.SortStableFunc(sim.waiting, func(a, b *request) int { return a.ObjectiveTime().Compare(b.ObjectiveTime()) })
 	sim.waiting = slices.DeleteFunc(sim.waiting, func(r *request) bool {
 		if e := sim.pickEndpoint(r.model.name); e != nil {
 			sim.startRun(e, r)
@@ -51,18 +51,18 @@
 // refuseUnlessHeld refuses a request that should not be held, and reports whether
 // it did. A request is retried after its first refusal.
 func (sim *simulation) refuseUnlessHeld(r *request) bool {
-	situation := serve.Situation{Now: sim.now, HasEndpoints: true, ColdReadyAt: sim.coldReadyAt[r.model.name]}
+	input := serve.HoldInput{Now: sim.now, HasEndpoints: true, ColdReadyAt: sim.coldReadyAt[r.model.name]}
 	for _, e := range sim.endpoints {
 		replica := e.loaded[r.model.name]
 		switch {
 		case replica == nil || replica.unloading:
 		case !replica.readyAt.After(sim.now):
-			situation.Ready = true
-		case situation.ReadyAt.IsZero() || replica.readyAt.Before(situation.ReadyAt):
-			situation.ReadyAt = replica.readyAt
+			input.Ready = true
+		case input.ReadyAt.IsZero() || replica.readyAt.Before(input.ReadyAt):
+			input.ReadyAt = replica.readyAt
 		}
 	}
-	_, retryAfter, hold := serve.Hold(r.Request, situation)
+	_, retryAfter, hold := serve.Hold(r.Request, input)
 	if hold {
 		return false
 	}
--- a/pkg/emulator/placement.go
+++ b/pkg/emulator/placement.go
@@ -80,14 +80,14 @@
 	}
 	for _, r := range sim.waiting {
 		n := needOf(r.model.name)
-		due, inTime := serve.Due(r.Request, sim.now)
+		due, onTime := serve.DemandRank(r.Request, sim.now)
 		dueIn := due.Sub(sim.now).Milliseconds()
-		if n.Waiting == 0 || inTime && n.InTime == 0 || inTime == (n.InTime > 0) && dueIn < n.DueIn {
+		if n.Waiting == 0 || onTime && n.OnTime == 0 || onTime == (n.OnTime > 0) && dueIn < n.DueIn {
 			n.DueIn = dueIn
 		}
 		n.Waiting++
-		if inTime {
-			n.InTime++
+		if onTime {
+			n.OnTime++
 		}
 	}
 	demandReport := fleet.DemandReport{Host: "h"}
--- a/pkg/fleet/messages.go
+++ b/pkg/fleet/messages.go
@@ -174,9 +174,9 @@
 	Inflight int   `cbor:"6,keyasint,omitempty"`
 	Arrived  int   `cbor:"7,keyasint,omitempty"`
 	Priority int   `cbor:"8,keyasint,omitempty"`
-	// InTime is the number of waiting requests that can still meet their objective. If it is
+	// OnTime is the number of waiting requests that can still meet their objective. If it is
 	// not 0, DueIn refers to these requests only.
-	InTime int `cbor:"9,keyasint,omitempty"`
+	OnTime int `cbor:"9,keyasint,omitempty"`
 	// FirstByteWait is the total time in milliseconds that requests have waited at endpoints for
 	// the first part of their response since the last report.
 	FirstByteWait int64 `cbor:"10,keyasint,omitempty"`
@@ -189,7 +189,7 @@
 	}
 	n.Priority = min(n.Priority, o.Priority)
 	n.Waiting += o.Waiting
-	n.InTime += o.InTime
+	n.OnTime += o.OnTime
 	n.Inflight += o.Inflight
 	n.Arrived += o.Arrived
 	n.FirstByteWait += o.FirstByteWait
@@ -204,8 +204,8 @@
 		return false
 	case b.Waiting == 0:
 		return true
-	case (a.InTime > 0) != (b.InTime > 0):
-		return a.InTime > 0
+	case (a.OnTime > 0) != (b.OnTime > 0):
+		return a.OnTime > 0
 	default:
 		return a.DueIn < b.DueIn
 	}
--- a/pkg/gateway/control.go
+++ b/pkg/gateway/control.go
@@ -132,7 +132,7 @@
 	n.Incarnation = g.self.Incarnation
 	n.Addr = g.self.Addr
 	g.locator.ApplyNotice(g.Now(), n)
-	g.dispatcher.Kick()
+	g.dispatcher.DispatchWaiting()
 	g.children.wake()
 }
 
@@ -140,7 +140,7 @@
 func (g *Gateway) maintain(ctx context.Context) {
 	last, lastQuery := g.Now(), time.Time{}
 	every(ctx, maintenanceInterval, func() {
-		g.dispatcher.Kick()
+		g.dispatcher.DispatchWaiting()
 		now := g.Now()
 		g.updateBlocks(now)
 		g.updateAccountLevels(now)
--- a/pkg/gateway/follow.go
+++ b/pkg/gateway/follow.go
@@ -272,7 +272,7 @@
 		g.directory.MarkDraining(id)
 	}
 	g.locator.MarkStale()
-	g.dispatcher.Kick()
+	g.dispatcher.DispatchWaiting()
 	trySend(g.stepNow)
 	g.children.wake()
 }
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -258,10 +258,10 @@
 }
 
 // Find implements serve.Placement.
-func (l locator) Find(now time.Time, n serve.Need) serve.Found {
+func (l locator) Find(now time.Time, n serve.Need) serve.Location {
 	at := l.locator.Locate(now, n.Service, n.Model, n.Adapter)
 	c := l.config()
-	return serve.Found{
+	return serve.Location{
 		Ready:         at.Ready,
 		ReadyAt:       at.ReadyAt,
 		ColdReadyAt:   at.ColdReadyAt,
--- a/pkg/gateway/peerhandler.go
+++ b/pkg/gateway/peerhandler.go
@@ -79,7 +79,7 @@
 		g.lastStamp.Store(&stamp{token: n.Token, at: n.Stamp})
 	}
 	g.applyListNotice(now, n)
-	g.dispatcher.Kick()
+	g.dispatcher.DispatchWaiting()
 	g.children.wake()
 }
 
--- a/pkg/gateway/pull.go
+++ b/pkg/gateway/pull.go
@@ -241,7 +241,7 @@
 			Model:         d.Model,
 			Adapter:       d.Adapter,
 			Waiting:       d.Waiting,
-			InTime:        d.InTime,
+			OnTime:        d.OnTime,
 			Inflight:      d.Inflight,
 			Arrived:       d.Arrived,
 			FirstByteWait: d.FirstByteWait.Milliseconds(),
--- a/pkg/gateway/signals.go
+++ b/pkg/gateway/signals.go
@@ -97,12 +97,12 @@
 	return l.Endpoints.Report(ctx, e)
 }
 
-// Run implements serve.Backend.
-func (l rateLimitedEndpoints) Run(ctx context.Context, r *serve.Request, e fleet.Endpoint) (serve.Run, error) {
+// RunStatus implements serve.Backend.
+func (l rateLimitedEndpoints) RunStatus(ctx context.Context, r *serve.Request, e fleet.Endpoint) (serve.RunStatus, error) {
 	if err := l.allow(callRun, e); err != nil {
-		return serve.Run{}, err
+		return serve.RunStatus{}, err
 	}
-	return l.Endpoints.Run(ctx, r, e)
+	return l.Endpoints.RunStatus(ctx, r, e)
 }
 
 // Terminated reports whether an incarnation of an endpoint has terminated.
--- a/pkg/gateway/signals_inner_test.go
+++ b/pkg/gateway/signals_inner_test.go
@@ -91,8 +91,8 @@
 	return fleet.Report{}, nil
 }
 
-func (acceptingEndpoints) Run(context.Context, *serve.Request, fleet.Endpoint) (serve.Run, error) {
-	return serve.Run{}, nil
+func (acceptingEndpoints) RunStatus(context.Context, *serve.Request, fleet.Endpoint) (serve.RunStatus, error) {
+	return serve.RunStatus{}, nil
 }
 
 func (acceptingEndpoints) Terminated(context.Context, fleet.Endpoint) (bool, error) {
@@ -110,7 +110,7 @@
 	calls := func() []error {
 		_, order := limited.Order(ctx, e, orders.Order{})
 		_, report := limited.Report(ctx, e)
-		_, run := limited.Run(ctx, nil, e)
+		_, run := limited.RunStatus(ctx, nil, e)
 		_, ended := limited.Terminated(ctx, e)
 		return []error{order, report, run, ended}
 	}
--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -291,10 +291,10 @@
 			byName[key.model] = r
 		}
 		if d.waiting > 0 {
-			r.Due = firstDue(r.Due, r.Waiting, r.InTime, d.due, d.inTime)
+			r.Due = firstDue(r.Due, r.Waiting, r.OnTime, d.due, d.onTime)
 		}
 		r.Waiting += d.waiting
-		r.InTime += d.inTime
+		r.OnTime += d.onTime
 		r.Inflight += d.inflight
 		r.FastRate += d.fast
 		r.SlowRate += d.slow
--- a/pkg/orders/demand.go
+++ b/pkg/orders/demand.go
@@ -123,9 +123,9 @@
 // modelDemand is the demand of all hosts for one key.
 type modelDemand struct {
 	waiting, inflight int
-	// inTime is the number of waiting requests that can start in time. due is the earliest
+	// onTime is the number of waiting requests that can start in time. due is the earliest
 	// due time of these, or of all waiting requests if there are none.
-	inTime            int
+	onTime            int
 	due               time.Time
 	fast, slow        float64
 	awaitingFirstByte float64
@@ -164,11 +164,11 @@
 
 // firstDue returns the earlier of two due times. The due time of requests that can still be
 // in time takes precedence over that of late ones.
-func firstDue(due time.Time, waiting, inTime int, other time.Time, otherInTime int) time.Time {
+func firstDue(due time.Time, waiting, onTime int, other time.Time, otherOnTime int) time.Time {
 	switch {
-	case waiting == 0, otherInTime > 0 && inTime == 0:
+	case waiting == 0, otherOnTime > 0 && onTime == 0:
 		return other
-	case inTime > 0 && otherInTime == 0:
+	case onTime > 0 && otherOnTime == 0:
 		return due
 	case other.Before(due):
 		return other
@@ -179,9 +179,9 @@
 
 func (d *modelDemand) add(at time.Time, n fleet.NeedReport) {
 	if n.Waiting > 0 {
-		d.due = firstDue(d.due, d.waiting, d.inTime, n.Due(at), n.InTime)
+		d.due = firstDue(d.due, d.waiting, d.onTime, n.Due(at), n.OnTime)
 	}
 	d.waiting += n.Waiting
-	d.inTime += n.InTime
+	d.onTime += n.OnTime
 	d.inflight += n.Inflight
 }
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -157,15 +157,15 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	s := relay.NewAggregator()
-	need := func(waiting, inTime int, due int64) []fleet.NeedReport {
-		return []fleet.NeedReport{{Service: "s", Model: "m", Waiting: waiting, InTime: inTime, DueIn: due, Arrived: waiting}}
+	need := func(waiting, onTime int, due int64) []fleet.NeedReport {
+		return []fleet.NeedReport{{Service: "s", Model: "m", Waiting: waiting, OnTime: onTime, DueIn: due, Arrived: waiting}}
 	}
 	s.Add(now, fleet.DemandReport{Host: "a", Seq: 1, Needs: need(2, 0, 100), Unreachable: []fleet.EndpointID{"e"}, BackoffRequested: []fleet.EndpointID{"f"}}, fleet.ControllerHeartbeat{Host: "a"})
 	s.Add(now, fleet.DemandReport{Host: "b", Seq: 1, Needs: need(1, 1, 900)}, fleet.ControllerHeartbeat{Host: "b"})
 	at := now.Add(100 * time.Millisecond)
 	sum := s.Sum(at, fleet.DemandReport{Host: "r", Needs: need(1, 0, 50)})
 	is.Equal(sum.Host, "r")
-	is.Equal(sum.Needs, []fleet.NeedReport{{Service: "s", Model: "m", Waiting: 4, InTime: 1, DueIn: 800, Arrived: 4}})
+	is.Equal(sum.Needs, []fleet.NeedReport{{Service: "s", Model: "m", Waiting: 4, OnTime: 1, DueIn: 800, Arrived: 4}})
 	is.Equal(sum.Unreachable, []fleet.EndpointID{"e"})
 	is.Equal(sum.BackoffRequested, []fleet.EndpointID{"f"})
 	is.Equal(len(s.Heartbeats(at)), 2)
--- a/pkg/residency/residency.go
+++ b/pkg/residency/residency.go
@@ -72,9 +72,9 @@
 type Model struct {
 	fleet.Model
 	Waiting int
-	// InTime is how many of the waiting requests can start in time if the model is loaded
+	// OnTime is how many of the waiting requests can start in time if the model is loaded
 	// now.
-	InTime int
+	OnTime int
 	// Due is when the missing model starts to delay requests: that of the earliest request
 	// that can still be in time, or of the earliest of all if none can.
 	Due time.Time
--- a/pkg/residency/residency_test.go
+++ b/pkg/residency/residency_test.go
@@ -27,7 +27,7 @@
 			StoreLoad: 6 * time.Second, DiskLoad: 800 * time.Millisecond, MemoryLoad: 600 * time.Millisecond,
 		},
 		Waiting:  waiting,
-		InTime:   waiting,
+		OnTime:   waiting,
 		Due:      now.Add(due),
 		FastRate: rate,
 		SlowRate: rate,
@@ -43,7 +43,7 @@
 
 // late returns the model with waiting requests that can no longer start in time.
 func late(m residency.Model) residency.Model {
-	m.InTime = 0
+	m.OnTime = 0
 	return m
 }
 
--- a/pkg/residency/shortfall.go
+++ b/pkg/residency/shortfall.go
@@ -71,7 +71,7 @@
 		}
 		if s.cold {
 			s.due = m.Due.Add(-time.Duration(min(4, m.Waiting-1)) * batchBonus)
-			s.late = m.InTime == 0
+			s.late = m.OnTime == 0
 		}
 		list = append(list, s)
 	}
--- a/pkg/serve/attempt.go
+++ b/pkg/serve/attempt.go
@@ -33,19 +33,19 @@
 	})
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
-		s.Queue.Release(x.request, e.ID, Use{})
+		s.Queue.Release(x.request, e.ID, SlotResult{})
 		x.finish(ctx, *refusal)
 		return attemptDone
 	}
 	if errors.Is(err, ErrNotSent) {
 		span.RecordError(err)
 		x.result.Note = err.Error()
-		s.Health.Suspect(s.Now(), e.ID)
+		s.Health.RecordConnectionFailure(s.Now(), e.ID)
 		unreachable := errors.Is(err, ErrUnreachable)
 		if unreachable {
 			x.recordUnreachable(e)
 		}
-		s.Queue.Release(x.request, e.ID, Use{Failed: true, Unreachable: unreachable})
+		s.Queue.Release(x.request, e.ID, SlotResult{Failed: true, Unreachable: unreachable})
 		return attemptNotRun
 	}
 	x.result.Sent++
@@ -61,42 +61,42 @@
 	}
 	watcher.progress()
 	if response.Load != nil {
-		s.Health.Load(s.Now(), e.ID, *response.Load)
+		s.Health.RecordLoad(s.Now(), e.ID, *response.Load)
 	}
-	if response.Verdict != WrongEndpoint {
-		s.Health.Signals.Observe(s.Now(), e.ID, response.Signals, start, response.Verdict == Answered)
+	if response.Class != WrongEndpoint {
+		s.Health.Signals.Observe(s.Now(), e.ID, response.Signals, start, response.Class == Completed)
 	}
-	if response.Verdict != Answered {
+	if response.Class != Completed {
 		x.reject(e, response)
 		return attemptNotRun
 	}
 	x.result.Runs++
-	s.Queue.Began(x.request, s.Now().Sub(start))
+	s.Queue.RecordFirstByte(x.request, s.Now().Sub(start))
 	return x.handleResponse(ctx, e, response, watcher, start)
 }
 
 // reject records why an endpoint did not run the request.
-func (x *exchange) reject(e fleet.Endpoint, a *Answer) {
+func (x *exchange) reject(e fleet.Endpoint, a *Response) {
 	s := x.server
 	now := s.Now()
-	name := x.request.Need().What()
+	name := x.request.Need().QualifiedName()
 	_ = a.Body.Close() // The body is not used.
-	switch a.Verdict {
-	case Full:
-		s.Health.Full(now, e.ID, name)
+	switch a.Class {
+	case Overloaded:
+		s.Health.RecordOverload(now, e.ID, name)
 		x.result.Note = "endpoint is full"
 		if p := a.Signals.RetryAfter; p > 0 {
 			x.result.Note = fmt.Sprintf("endpoint rejects and asks for a pause of %v", p)
 		}
-	case NotHeld:
-		s.Health.NotHeld(now, e.ID, name, x.rejected)
+	case NotLoaded:
+		s.Health.RecordNotLoaded(now, e.ID, name, x.rejected)
 		x.result.Note = "endpoint does not hold " + name
 	case WrongEndpoint:
-		s.Health.Suspect(now, e.ID)
-		x.avoid[e.ID] = Never
+		s.Health.RecordConnectionFailure(now, e.ID)
+		x.avoid[e.ID] = Exclude
 		x.result.Note = "another endpoint has the address"
 	}
-	s.Queue.Release(x.request, e.ID, Use{Failed: true})
+	s.Queue.Release(x.request, e.ID, SlotResult{Failed: true})
 }
 
 // fail records a run without a complete response.
@@ -109,19 +109,19 @@
 	// A disconnected client or an expired deadline is not a failure of the endpoint.
 	failed := ctx.Err() == nil && !errors.Is(err, errClientWrite)
 	if failed {
-		s.Health.Result(e.ID, x.request.Service, true)
+		s.Health.RecordResult(e.ID, x.request.Service, true)
 	}
 	x.recordBroken(e, failed && !errors.Is(context.Cause(ctx), errAttemptAbandoned))
-	s.Queue.Release(x.request, e.ID, Use{Failed: failed})
+	s.Queue.Release(x.request, e.ID, SlotResult{Failed: failed})
 }
 
 // handleResponse forwards a response, or keeps a failed one as the fallback if another
 // endpoint may succeed.
-func (x *exchange) handleResponse(ctx context.Context, e fleet.Endpoint, a *Answer, w *stallWatcher, start time.Time) attemptResult {
+func (x *exchange) handleResponse(ctx context.Context, e fleet.Endpoint, a *Response, w *stallWatcher, start time.Time) attemptResult {
 	s := x.server
-	s.Health.Result(e.ID, x.request.Service, a.Failed())
+	s.Health.RecordResult(e.ID, x.request.Service, a.Failed())
 	if a.Failed() && (x.headSent || x.mayRunAgain(ctx)) {
-		s.Queue.Release(x.request, e.ID, Use{Failed: true})
+		s.Queue.Release(x.request, e.ID, SlotResult{Failed: true})
 		if x.headSent {
 			_ = a.Body.Close() // The head of another response was sent already.
 			return attemptFailed
@@ -137,7 +137,7 @@
 		x.result.Complete = true
 		x.result.Status = a.Status
 		x.recordServed(e, start)
-		s.Queue.Release(x.request, e.ID, Use{Took: s.Now().Sub(start)})
+		s.Queue.Release(x.request, e.ID, SlotResult{Duration: s.Now().Sub(start)})
 		return attemptDone
 	}
 	x.fail(ctx, e, err)
@@ -150,7 +150,7 @@
 }
 
 // sendFallback forwards a failed response that was kept.
-func (x *exchange) sendFallback(a *Answer) {
+func (x *exchange) sendFallback(a *Response) {
 	x.result.Status = a.Status
 	if err := x.forward(a, nil, x.result.Endpoint); err != nil {
 		x.result.Note = err.Error()
--- a/pkg/serve/demand.go
+++ b/pkg/serve/demand.go
@@ -6,9 +6,9 @@
 type Demand struct {
 	Need
 	Waiting int
-	// InTime is the number of waiting requests that can still meet their objective.
-	InTime int
-	// Due is the earliest time returned by the function Due for the waiting requests. If any
+	// OnTime is the number of waiting requests that can still meet their objective.
+	OnTime int
+	// Due is the earliest time returned by DemandRank for the waiting requests. If any
 	// of them can still meet its objective, only those are considered.
 	Due time.Time
 	// Inflight counts running requests, Arrived those received since the last call of
@@ -23,14 +23,14 @@
 }
 
 // addWaiting counts a waiting request.
-func (d *Demand) addWaiting(due time.Time, inTime bool) {
-	better := inTime && d.InTime == 0 || inTime == (d.InTime > 0) && due.Before(d.Due)
+func (d *Demand) addWaiting(due time.Time, onTime bool) {
+	better := onTime && d.OnTime == 0 || onTime == (d.OnTime > 0) && due.Before(d.Due)
 	if d.Waiting == 0 || better {
 		d.Due = due
 	}
 	d.Waiting++
-	if inTime {
-		d.InTime++
+	if onTime {
+		d.OnTime++
 	}
 }
 
@@ -81,7 +81,7 @@
 			d = &Demand{Need: w.need, Priority: w.request.Route.Priority}
 			byNeed[w.need] = d
 		}
-		d.addWaiting(Due(w.request, now))
+		d.addWaiting(DemandRank(w.request, now))
 	}
 	list := make([]Demand, 0, len(byNeed))
 	for _, d := range byNeed {
--- a/pkg/serve/dispatcher.go
+++ b/pkg/serve/dispatcher.go
@@ -35,16 +35,16 @@
 	Adapter string
 }
 
-// What returns the name of the model, or of the adapter prefixed with its model.
-func (n Need) What() string {
+// QualifiedName returns the name of the model, or of the adapter prefixed with its model.
+func (n Need) QualifiedName() string {
 	if n.Adapter == "" {
 		return n.Model
 	}
 	return n.Model + "/" + n.Adapter
 }
 
-// Found describes which endpoints can serve a Need.
-type Found struct {
+// Location describes which endpoints can serve a Need.
+type Location struct {
 	// Ready lists the endpoints that have the model loaded and accept requests.
 	Ready []fleet.Endpoint
 	// ReadyAt is when the next endpoint finishes loading the model, or zero if none is
@@ -61,7 +61,7 @@
 
 // Placement locates the endpoints that can serve a Need.
 type Placement interface {
-	Find(now time.Time, n Need) Found
+	Find(now time.Time, n Need) Location
 }
 
 // Dispatcher is a Queue that orders waiting requests by the priority of their route and by
@@ -144,8 +144,8 @@
 	return st
 }
 
-// Arrive implements Queue.
-func (d *Dispatcher) Arrive(r *Request) {
+// RecordArrival implements Queue.
+func (d *Dispatcher) RecordArrival(r *Request) {
 	s := d.shard(r.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,24 +155,24 @@
 }
 
 // Acquire implements Queue.
-func (d *Dispatcher) Acquire(ctx context.Context, r *Request, t Tried) (fleet.Endpoint, *Refusal) {
+func (d *Dispatcher) Acquire(ctx context.Context, r *Request, prior PriorAttempts) (fleet.Endpoint, *Refusal) {
 	s := d.shard(r.Service)
-	w := &waiter{need: r.Need(), request: r, avoid: t.At, granted: make(chan grant, 1)}
+	w := &waiter{need: r.Need(), request: r, avoid: prior.Avoid, granted: make(chan grant, 1)}
 	now := d.now()
 	s.mu.Lock()
 	if e, ok := d.pick(now, s, w); ok {
 		s.mu.Unlock()
 		return e, nil
 	}
-	situation, missing := d.situation(now, w)
-	until, retryAfter, hold := d.hold(r, situation)
-	if !hold || !situation.HasEndpoints {
-		s.keepDemand(now, w.need, situation)
+	input, missing := d.situation(now, w)
+	until, retryAfter, hold := d.hold(r, input)
+	if !hold || !input.HasEndpoints {
+		s.keepDemand(now, w.need, input)
 		s.mu.Unlock()
 		if missing {
 			d.onMissingModel()
 		}
-		return fleet.Endpoint{}, refuse(situation, max(retryAfter, minRetryAfter))
+		return fleet.Endpoint{}, refuse(input, max(retryAfter, minRetryAfter))
 	}
 	s.push(w)
 	s.mu.Unlock()
@@ -184,7 +184,7 @@
 
 // hold decides whether a request waits. It limits the result of Hold to the time set by
 // CloseAt.
-func (d *Dispatcher) hold(r *Request, s Situation) (until time.Time, retryAfter time.Duration, hold bool) {
+func (d *Dispatcher) hold(r *Request, s HoldInput) (until time.Time, retryAfter time.Duration, hold bool) {
 	until, retryAfter, hold = Hold(r, s)
 	if at := d.closeAt.Load(); at != nil && until.After(*at) {
 		until = *at
@@ -194,7 +194,7 @@
 	return until, retryAfter, hold
 }
 
-func refuse(s Situation, retryAfter time.Duration) *Refusal {
+func refuse(s HoldInput, retryAfter time.Duration) *Refusal {
 	cause := CauseNotLoaded
 	switch {
 	case s.NotConfigured:
@@ -222,8 +222,8 @@
 		}
 		now := d.now()
 		s.mu.Lock()
-		situation, _ := d.situation(now, w)
-		next, retryAfter, hold := d.hold(w.request, situation)
+		input, _ := d.situation(now, w)
+		next, retryAfter, hold := d.hold(w.request, input)
 		if hold && ctx.Err() == nil {
 			s.mu.Unlock()
 			until = next
@@ -231,13 +231,13 @@
 		}
 		removed := s.remove(w)
 		if removed && ctx.Err() == nil {
-			// A slot may have become available without a call of Kick.
+			// A slot may have become available without a call of DispatchWaiting.
 			if e, ok := d.pick(now, s, w); ok {
 				s.mu.Unlock()
 				return e, nil
 			}
 		}
-		s.keepDemand(now, w.need, situation)
+		s.keepDemand(now, w.need, input)
 		s.mu.Unlock()
 		if !removed {
 			// A slot was granted concurrently.
@@ -247,18 +247,18 @@
 		if ctx.Err() != nil {
 			return fleet.Endpoint{}, &Refusal{Cause: CauseClientGone, NotRun: true}
 		}
-		return fleet.Endpoint{}, refuse(situation, retryAfter)
+		return fleet.Endpoint{}, refuse(input, retryAfter)
 	}
 }
 
 // situation returns the input of Hold for a waiter. missing reports whether the request needs
 // a model that no endpoint can serve now and that should be loaded.
-func (d *Dispatcher) situation(now time.Time, w *waiter) (s Situation, missing bool) {
+func (d *Dispatcher) situation(now time.Time, w *waiter) (s HoldInput, missing bool) {
 	f := d.placement.Find(now, w.need)
-	freeAt, limited := d.limitedUntil(now, w.need, f.Ready)
-	s = Situation{Now: now, Ready: len(f.Ready) > 0 && !limited, ReadyAt: f.ReadyAt, ColdReadyAt: f.ColdReadyAt, HasEndpoints: f.HasEndpoints, NotConfigured: f.NotConfigured, Limited: limited}
-	if s.ReadyAt.IsZero() || !freeAt.IsZero() && freeAt.Before(s.ReadyAt) {
-		s.ReadyAt = freeAt
+	limitedUntil, limited := d.limitedUntil(now, w.need, f.Ready)
+	s = HoldInput{Now: now, Ready: len(f.Ready) > 0 && !limited, ReadyAt: f.ReadyAt, ColdReadyAt: f.ColdReadyAt, HasEndpoints: f.HasEndpoints, NotConfigured: f.NotConfigured, Limited: limited}
+	if s.ReadyAt.IsZero() || !limitedUntil.IsZero() && limitedUntil.Before(s.ReadyAt) {
+		s.ReadyAt = limitedUntil
 	}
 	return s, !s.Ready && !s.NotConfigured && w.need.Model != ""
 }
@@ -266,8 +266,8 @@
 // keepDemand keeps counting a refused request as demand if its model has to be loaded from the
 // weight store. Without it, a model that takes longer to load than clients wait would never be
 // loaded.
-func (s *shard) keepDemand(now time.Time, n Need, situation Situation) {
-	if !situation.Ready && !situation.ColdReadyAt.IsZero() {
+func (s *shard) keepDemand(now time.Time, n Need, input HoldInput) {
+	if !input.Ready && !input.ColdReadyAt.IsZero() {
 		s.statsOf(n).unmetUntil = now.Add(unmetDemandTTL)
 	}
 }
@@ -275,7 +275,7 @@
 // push inserts w ordered by the priority of its route and then by its objective.
 func (s *shard) push(w *waiter) {
 	at, _ := slices.BinarySearchFunc(s.waiting, w, func(a, b *waiter) int {
-		return cmp.Or(cmp.Compare(a.request.Route.Priority, b.request.Route.Priority), a.request.Aim().Compare(b.request.Aim()), -1)
+		return cmp.Or(cmp.Compare(a.request.Route.Priority, b.request.Route.Priority), a.request.ObjectiveTime().Compare(b.request.ObjectiveTime()), -1)
 	})
 	s.waiting = slices.Insert(s.waiting, at, w)
 }
@@ -289,9 +289,9 @@
 	return true
 }
 
-// Kick grants free slots to waiting requests. It must be called after endpoints or their state
+// DispatchWaiting grants free slots to waiting requests. It must be called after endpoints or their state
 // change.
-func (d *Dispatcher) Kick() {
+func (d *Dispatcher) DispatchWaiting() {
 	d.mu.Lock()
 	services := make([]string, 0, len(d.shards))
 	for name := range d.shards {
@@ -324,17 +324,17 @@
 }
 
 // Release implements Queue.
-func (d *Dispatcher) Release(r *Request, e fleet.EndpointID, u Use) {
+func (d *Dispatcher) Release(r *Request, e fleet.EndpointID, u SlotResult) {
 	d.health.End(e)
 	if u.Unreachable {
-		d.health.Unreachable(d.now(), e)
+		d.health.RecordUnreachable(d.now(), e)
 		d.onMissingModel()
 	}
 	s := d.shard(r.Service)
 	s.mu.Lock()
 	s.statsOf(r.Need()).inflight--
-	if u.Took > 0 {
-		s.serviceTime += time.Duration(float64(u.Took-s.serviceTime) * serviceTimeWeight)
+	if u.Duration > 0 {
+		s.serviceTime += time.Duration(float64(u.Duration-s.serviceTime) * serviceTimeWeight)
 	}
 	idle := len(s.waiting) == 0
 	s.mu.Unlock()
@@ -343,8 +343,8 @@
 	}
 }
 
-// Began implements Queue.
-func (d *Dispatcher) Began(r *Request, after time.Duration) {
+// RecordFirstByte implements Queue.
+func (d *Dispatcher) RecordFirstByte(r *Request, after time.Duration) {
 	s := d.shard(r.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/serve/fake_backend_test.go
+++ b/pkg/serve/fake_backend_test.go
@@ -22,8 +22,8 @@
 
 // script is the behavior of an endpoint for one request.
 type script struct {
-	verdict serve.Verdict
-	status  int
+	class  serve.ResponseClass
+	status int
 	// notSent fails before the request is sent, lost fails after it has run.
 	notSent, lost bool
 	// signals is reported with the response.
@@ -51,7 +51,7 @@
 	// canceled counts runs that the host canceled.
 	canceled int
 	// status is what endpoints report for a request without a response.
-	status      serve.Run
+	status      serve.RunStatus
 	ready       []fleet.Endpoint
 	readyAt     time.Time
 	coldReadyAt time.Time
@@ -62,7 +62,7 @@
 	for _, id := range ids {
 		b.ready = append(b.ready, fleet.Endpoint{ID: fleet.EndpointID(id), Slots: 8})
 	}
-	b.status = serve.Run{Held: true}
+	b.status = serve.RunStatus{Active: true}
 	return b
 }
 
@@ -71,10 +71,10 @@
 func (b *fakeBackend) setScript(id string, s ...script) { b.scripts[fleet.EndpointID(id)] = s }
 
 // Find implements serve.Placement.
-func (b *fakeBackend) Find(time.Time, serve.Need) serve.Found {
+func (b *fakeBackend) Find(time.Time, serve.Need) serve.Location {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return serve.Found{Ready: slices.Clone(b.ready), ReadyAt: b.readyAt, ColdReadyAt: b.coldReadyAt, HasEndpoints: true}
+	return serve.Location{Ready: slices.Clone(b.ready), ReadyAt: b.readyAt, ColdReadyAt: b.coldReadyAt, HasEndpoints: true}
 }
 
 func (b *fakeBackend) setReady(ids ...string) {
@@ -96,14 +96,14 @@
 	if sc.status == 0 {
 		sc.status = 200
 	}
-	if !sc.notSent && !sc.unreachable && sc.verdict == serve.Answered {
+	if !sc.notSent && !sc.unreachable && sc.class == serve.Completed {
 		b.runs[r.ID] = append(b.runs[r.ID], s.Endpoint.ID)
 	}
 	return sc
 }
 
 // Send implements serve.Backend.
-func (b *fakeBackend) Send(ctx context.Context, r *serve.Request, s serve.Send) (*serve.Answer, error) {
+func (b *fakeBackend) Send(ctx context.Context, r *serve.Request, s serve.Send) (*serve.Response, error) {
 	sc := b.next(r, s)
 	if sc.unreachable {
 		return nil, fmt.Errorf("%w: %w", serve.ErrNotSent, serve.ErrUnreachable)
@@ -128,11 +128,11 @@
 	if sc.lost {
 		return nil, errReset
 	}
-	return &serve.Answer{Verdict: sc.verdict, Status: sc.status, Signals: sc.signals, Body: io.NopCloser(responseBody(r, s, sc))}, nil
+	return &serve.Response{Class: sc.class, Status: sc.status, Signals: sc.signals, Body: io.NopCloser(responseBody(r, s, sc))}, nil
 }
 
-// Run implements serve.Backend.
-func (b *fakeBackend) Run(context.Context, *serve.Request, fleet.Endpoint) (serve.Run, error) {
+// RunStatus implements serve.Backend.
+func (b *fakeBackend) RunStatus(context.Context, *serve.Request, fleet.Endpoint) (serve.RunStatus, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.status, nil
@@ -175,7 +175,7 @@
 	onWrite func()
 }
 
-func (s *sink) Begin(a *serve.Answer) { s.status = a.Status; s.begun++ }
+func (s *sink) Begin(a *serve.Response) { s.status = a.Status; s.begun++ }
 func (s *sink) Write(p []byte) error {
 	if s.gone {
 		return errReset
--- a/pkg/serve/forward.go
+++ b/pkg/serve/forward.go
@@ -18,9 +18,9 @@
 var errAttemptAbandoned = errors.New("try was given up")
 
 // forward sends a response to the client.
-func (x *exchange) forward(a *Answer, w *stallWatcher, id fleet.EndpointID) error {
+func (x *exchange) forward(a *Response, w *stallWatcher, id fleet.EndpointID) error {
 	body := &notifyReader{src: a.Body, onRead: func() {
-		x.server.Health.Byte(x.server.Now(), id)
+		x.server.Health.RecordByte(x.server.Now(), id)
 		if w != nil {
 			w.progress()
 		}
@@ -57,7 +57,7 @@
 	return count, err
 }
 
-func (x *exchange) begin(a *Answer) {
+func (x *exchange) begin(a *Response) {
 	if x.headSent {
 		x.result.Resumed++
 		return
@@ -78,7 +78,7 @@
 }
 
 // forwardRaw copies a body unbuffered.
-func (x *exchange) forwardRaw(a *Answer, body io.Reader, head []byte) error {
+func (x *exchange) forwardRaw(a *Response, body io.Reader, head []byte) error {
 	buf := make([]byte, 8<<10)
 	if len(head) > 0 {
 		x.begin(a)
@@ -107,7 +107,7 @@
 
 // forwardEvents forwards complete events only, so that a broken stream can be resumed after
 // the last delivered event.
-func (x *exchange) forwardEvents(a *Answer, body io.Reader) error {
+func (x *exchange) forwardEvents(a *Response, body io.Reader) error {
 	r := &eventReader{src: body}
 	first := true
 	for {
@@ -166,11 +166,11 @@
 			go x.checkRun(ctx, e, w, cancel)
 		}
 		silence := s.Now().Sub(w.lastByte)
-		stalled := silence >= timeout || (silence >= stalledAfter && s.Health.Silent(s.Now(), e.ID) >= stalledAfter)
+		stalled := silence >= timeout || (silence >= stalledAfter && s.Health.StallTime(s.Now(), e.ID) >= stalledAfter)
 		// Without another endpoint, canceling the attempt would discard its progress and a
 		// second run would add load to the same endpoint.
-		if stalled && s.Queue.HasOther(x.request, e.ID) && x.reserveRetry() {
-			s.Health.Suspect(s.Now(), e.ID)
+		if stalled && s.Queue.HasAlternative(x.request, e.ID) && x.reserveRetry() {
+			s.Health.RecordConnectionFailure(s.Now(), e.ID)
 			cancel(errors.Wrapf(errAttemptAbandoned, "nothing came for %v", silence.Round(time.Millisecond)))
 			return
 		}
@@ -188,17 +188,17 @@
 func (x *exchange) checkRun(ctx context.Context, e fleet.Endpoint, w *stallWatcher, cancel context.CancelCauseFunc) {
 	ctx, stop := context.WithTimeout(ctx, checkRunTimeout)
 	defer stop()
-	run, err := x.server.Backend.Run(ctx, x.request, e)
+	run, err := x.server.Backend.RunStatus(ctx, x.request, e)
 	if err != nil {
 		// The state of the run is unknown; the other timeouts of the attempt still apply.
 		trace.SpanFromContext(ctx).RecordError(err)
 		return
 	}
-	if run.Held && !run.Begun {
+	if run.Active && !run.Started {
 		return
 	}
 	if w.awaitingFirstByte() && x.reserveRetry() {
-		cancel(errors.Wrapf(errAttemptAbandoned, "answer is lost: held there %t, begun %t", run.Held, run.Begun))
+		cancel(errors.Wrapf(errAttemptAbandoned, "answer is lost: held there %t, begun %t", run.Active, run.Started))
 	}
 }
 
--- a/pkg/serve/guard_test.go
+++ b/pkg/serve/guard_test.go
@@ -117,7 +117,7 @@
 					time.Sleep(time.Second)
 					g.block()
 					b.setReady("e1", "e2")
-					dispatcher(s).Kick()
+					dispatcher(s).DispatchWaiting()
 				}
 				result := <-done
 				is.Equal(result.Refusal.Cause, serve.CauseCrashes)
--- a/pkg/serve/health.go
+++ b/pkg/serve/health.go
@@ -71,15 +71,15 @@
 	return c
 }
 
-// Suspect records a failed connection.
-func (h *Health) Suspect(now time.Time, id fleet.EndpointID) {
+// RecordConnectionFailure records a failed connection.
+func (h *Health) RecordConnectionFailure(now time.Time, id fleet.EndpointID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.state(id).suspectUntil = now.Add(suspectDuration)
 }
 
-// Unreachable records that no connection could be made.
-func (h *Health) Unreachable(now time.Time, id fleet.EndpointID) {
+// RecordUnreachable records that no connection could be made.
+func (h *Health) RecordUnreachable(now time.Time, id fleet.EndpointID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.state(id).unreachableAt = now
@@ -98,25 +98,25 @@
 	return out
 }
 
-// Full records that an endpoint rejected a request for the named model or adapter. Other
+// RecordOverload records that an endpoint rejected a request for the named model or adapter. Other
 // models of the endpoint are not affected: endpoints reject in the same way while they load or
 // unload a model.
-func (h *Health) Full(now time.Time, id fleet.EndpointID, name string) {
+func (h *Health) RecordOverload(now time.Time, id fleet.EndpointID, name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.state(id).closedUntil[name] = now.Add(overloadedCooldown)
 }
 
-// NotHeld records that an endpoint does not have a model or adapter loaded. n is the number of
+// RecordNotLoaded records that an endpoint does not have a model or adapter loaded. n is the number of
 // earlier rejections of the same request.
-func (h *Health) NotHeld(now time.Time, id fleet.EndpointID, name string, n int) {
+func (h *Health) RecordNotLoaded(now time.Time, id fleet.EndpointID, name string, n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.state(id).closedUntil[name] = now.Add(notLoadedCooldown << n)
 }
 
-// Result records whether a run failed.
-func (h *Health) Result(id fleet.EndpointID, service string, failed bool) {
+// RecordResult records whether a run failed.
+func (h *Health) RecordResult(id fleet.EndpointID, service string, failed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	result := 0.0
@@ -128,15 +128,15 @@
 	h.serviceFailureRate[service] += (result - h.serviceFailureRate[service]) * failureRateWeight
 }
 
-// Byte records that an endpoint has sent bytes of a response.
-func (h *Health) Byte(now time.Time, id fleet.EndpointID) {
+// RecordByte records that an endpoint has sent bytes of a response.
+func (h *Health) RecordByte(now time.Time, id fleet.EndpointID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.state(id).lastByte = now
 }
 
-// Load records the load that an endpoint reported.
-func (h *Health) Load(now time.Time, id fleet.EndpointID, l fleet.Load) {
+// RecordLoad records the load that an endpoint reported.
+func (h *Health) RecordLoad(now time.Time, id fleet.EndpointID, l fleet.Load) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.state(id)
@@ -162,9 +162,9 @@
 	h.state(id).running--
 }
 
-// Silent returns for how long an endpoint with running requests has sent no byte. It returns 0
+// StallTime returns for how long an endpoint with running requests has sent no byte. It returns 0
 // for an endpoint without running requests.
-func (h *Health) Silent(now time.Time, id fleet.EndpointID) time.Duration {
+func (h *Health) StallTime(now time.Time, id fleet.EndpointID) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.endpoints[id]
@@ -174,8 +174,8 @@
 	return now.Sub(c.lastByte)
 }
 
-// Condition is the state of an endpoint for one model or adapter, as used by routing.
-type Condition struct {
+// EndpointCondition is the state of an endpoint for one model or adapter, as used by routing.
+type EndpointCondition struct {
 	Own     int
 	Load    fleet.Load
 	LoadAge time.Duration
@@ -183,29 +183,29 @@
 	// Closed reports that the endpoint must not get requests for the model or adapter now.
 	Closed bool
 	// Limited reports that this host has used up its part of the endpoint's request rate, or
-	// that the endpoint asked for a pause. FreeAt is when the endpoint accepts requests again,
+	// that the endpoint asked for a pause. LimitedUntil is when the endpoint accepts requests again,
 	// or zero if that is not known.
-	Limited bool
-	FreeAt  time.Time
+	Limited      bool
+	LimitedUntil time.Time
 }
 
 // Condition returns the state of an endpoint for the named model or adapter.
-func (h *Health) Condition(now time.Time, id fleet.EndpointID, service, name string) Condition {
+func (h *Health) Condition(now time.Time, id fleet.EndpointID, service, name string) EndpointCondition {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	freeAt, limited := h.Signals.Next(now, id)
+	limitedUntil, limited := h.Signals.Next(now, id)
 	c := h.endpoints[id]
 	if c == nil {
-		return Condition{LoadAge: time.Hour, Limited: limited, FreeAt: freeAt}
+		return EndpointCondition{LoadAge: time.Hour, Limited: limited, LimitedUntil: limitedUntil}
 	}
-	return Condition{
-		Limited: limited,
-		FreeAt:  freeAt,
-		Own:     c.running,
-		Load:    c.load,
-		LoadAge: now.Sub(c.loadAt),
-		Suspect: now.Before(c.suspectUntil) || c.failureRate > h.serviceFailureRate[service]+failureRateMargin || c.running > 0 && now.Sub(c.lastByte) > stalledAfter,
-		Closed:  now.Before(c.closedUntil[name]),
+	return EndpointCondition{
+		Limited:      limited,
+		LimitedUntil: limitedUntil,
+		Own:          c.running,
+		Load:         c.load,
+		LoadAge:      now.Sub(c.loadAt),
+		Suspect:      now.Before(c.suspectUntil) || c.failureRate > h.serviceFailureRate[service]+failureRateMargin || c.running > 0 && now.Sub(c.lastByte) > stalledAfter,
+		Closed:       now.Before(c.closedUntil[name]),
 	}
 }
 
--- a/pkg/serve/hold.go
+++ b/pkg/serve/hold.go
@@ -26,12 +26,12 @@
 	minRunTime = 60 * time.Millisecond
 )
 
-// Due returns the time by which the request is ranked in the demand, and whether the request
+// DemandRank returns the time by which the request is ranked in the demand, and whether the request
 // can still meet its objective if its model is loaded now. If it can, that time is the
 // objective. Otherwise it is the last time at which a load can start to finish before the
 // request is refused.
-func Due(r *Request, now time.Time) (due time.Time, inTime bool) {
-	if objective := r.Aim(); objective.Sub(now) >= typicalLoadTime {
+func DemandRank(r *Request, now time.Time) (due time.Time, onTime bool) {
+	if objective := r.ObjectiveTime(); objective.Sub(now) >= typicalLoadTime {
 		return objective, true
 	}
 	return holdUntil(r).Add(-typicalLoadTime), false
@@ -42,14 +42,14 @@
 // before its deadline.
 func holdUntil(r *Request) time.Time {
 	until := r.Arrived.Add(time.Duration(float64(r.Deadline.Sub(r.Arrived)) * maxHoldShare))
-	if latest := r.BeginBy().Add(-refusalMargin); latest.Before(until) {
+	if latest := r.StartDeadline().Add(-refusalMargin); latest.Before(until) {
 		return latest
 	}
 	return until
 }
 
-// Situation is the input of Hold.
-type Situation struct {
+// HoldInput is the input of Hold.
+type HoldInput struct {
 	Now time.Time
 	// Ready reports whether an endpoint can serve the request now.
 	Ready bool
@@ -70,19 +70,19 @@
 
 // Hold decides whether a request waits. It returns the time until which it may wait, and the
 // Retry-After for its client if it is refused.
-func Hold(r *Request, s Situation) (until time.Time, retryAfter time.Duration, hold bool) {
+func Hold(r *Request, s HoldInput) (until time.Time, retryAfter time.Duration, hold bool) {
 	if s.NotConfigured {
 		// The model will not be loaded unless a new configuration names it.
 		s.ReadyAt = s.Now.Add(configRolloutTime)
 		return s.Now, RetryAfter(r.Deadline.Sub(s.Now), s), false
 	}
-	if !s.Ready && s.ReadyAt.IsZero() && s.ColdReadyAt.After(r.BeginBy().Add(-minRunTime)) {
+	if !s.Ready && s.ReadyAt.IsZero() && s.ColdReadyAt.After(r.StartDeadline().Add(-minRunTime)) {
 		// The model cannot be loaded from the weight store in time.
 		s.ReadyAt = s.ColdReadyAt
 		return s.Now, RetryAfter(r.Deadline.Sub(s.Now), s), false
 	}
 	until = holdUntil(r)
-	if !s.ReadyAt.IsZero() && s.ReadyAt.After(until) && s.ReadyAt.Before(r.BeginBy().Add(-minRunTime)) {
+	if !s.ReadyAt.IsZero() && s.ReadyAt.After(until) && s.ReadyAt.Before(r.StartDeadline().Add(-minRunTime)) {
 		// The load in progress finishes in time for this request.
 		until = s.ReadyAt.Add(minRunTime)
 	}
@@ -94,7 +94,7 @@
 }
 
 // RetryAfter returns the Retry-After for a client with the given time remaining.
-func RetryAfter(remaining time.Duration, s Situation) time.Duration {
+func RetryAfter(remaining time.Duration, s HoldInput) time.Duration {
 	after := minRetryAfter
 	if !s.ReadyAt.IsZero() {
 		after = max(after, s.ReadyAt.Sub(s.Now))
--- a/pkg/serve/hold_test.go
+++ b/pkg/serve/hold_test.go
@@ -19,17 +19,17 @@
 	at := func(d time.Duration) time.Time { return r.Arrived.Add(d) }
 	for _, c := range []struct {
 		name string
-		s    serve.Situation
+		s    serve.HoldInput
 		hold bool
 	}{
-		{"new request waits", serve.Situation{Now: at(0)}, true},
-		{"request waits after half of its timeout", serve.Situation{Now: at(5 * time.Second)}, true},
-		{"request is refused while its client can still retry", serve.Situation{Now: at(6 * time.Second)}, false},
-		{"request waits if the model is about to be loaded", serve.Situation{Now: at(6 * time.Second), ReadyAt: at(7 * time.Second)}, true},
-		{"request is refused at once if the model cannot be loaded in time", serve.Situation{Now: at(0), ColdReadyAt: at(12 * time.Second)}, false},
-		{"request waits if the model can be loaded in time", serve.Situation{Now: at(0), ColdReadyAt: at(7 * time.Second)}, true},
-		{"request is refused at once if no configuration names the model", serve.Situation{Now: at(0), HasEndpoints: true, NotConfigured: true}, false},
-		{"request is refused if the load finishes too late", serve.Situation{Now: at(6 * time.Second), ReadyAt: at(11 * time.Second)}, false},
+		{"new request waits", serve.HoldInput{Now: at(0)}, true},
+		{"request waits after half of its timeout", serve.HoldInput{Now: at(5 * time.Second)}, true},
+		{"request is refused while its client can still retry", serve.HoldInput{Now: at(6 * time.Second)}, false},
+		{"request waits if the model is about to be loaded", serve.HoldInput{Now: at(6 * time.Second), ReadyAt: at(7 * time.Second)}, true},
+		{"request is refused at once if the model cannot be loaded in time", serve.HoldInput{Now: at(0), ColdReadyAt: at(12 * time.Second)}, false},
+		{"request waits if the model can be loaded in time", serve.HoldInput{Now: at(0), ColdReadyAt: at(7 * time.Second)}, true},
+		{"request is refused at once if no configuration names the model", serve.HoldInput{Now: at(0), HasEndpoints: true, NotConfigured: true}, false},
+		{"request is refused if the load finishes too late", serve.HoldInput{Now: at(6 * time.Second), ReadyAt: at(11 * time.Second)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -52,10 +52,10 @@
 	fresh.Arrived = old.Arrived.Add(2 * time.Second)
 	fresh.Deadline = fresh.Arrived.Add(10 * time.Second)
 	now := fresh.Arrived
-	freshDue, inTime := serve.Due(fresh, now)
-	is.True(inTime)
-	oldDue, inTime := serve.Due(old, now)
-	is.True(!inTime)
+	freshDue, onTime := serve.DemandRank(fresh, now)
+	is.True(onTime)
+	oldDue, onTime := serve.DemandRank(old, now)
+	is.True(!onTime)
 	is.True(freshDue.Before(oldDue))
 	is.True(oldDue.Before(old.Deadline))
 }
@@ -65,14 +65,14 @@
 func TestStreamIsRefusedBeforeClientDisconnects(t *testing.T) {
 	is := is.New(t)
 	r := requestWithObjective(500*time.Millisecond, 15*time.Second)
-	r.FirstBy = r.Arrived.Add(3200 * time.Millisecond)
-	_, _, hold := serve.Hold(r, serve.Situation{Now: r.Arrived.Add(time.Second)})
+	r.FirstByteDeadline = r.Arrived.Add(3200 * time.Millisecond)
+	_, _, hold := serve.Hold(r, serve.HoldInput{Now: r.Arrived.Add(time.Second)})
 	is.True(hold)
-	_, retryAfter, hold := serve.Hold(r, serve.Situation{Now: r.Arrived.Add(3 * time.Second)})
+	_, retryAfter, hold := serve.Hold(r, serve.HoldInput{Now: r.Arrived.Add(3 * time.Second)})
 	is.True(!hold)
 	is.True(retryAfter > 0)
-	_, _, hold = serve.Hold(r, serve.Situation{Now: r.Arrived, ColdReadyAt: r.Arrived.Add(6 * time.Second)})
+	_, _, hold = serve.Hold(r, serve.HoldInput{Now: r.Arrived, ColdReadyAt: r.Arrived.Add(6 * time.Second)})
 	is.True(!hold) // the load ends after the client disconnects
-	due, _ := serve.Due(r, r.Arrived.Add(time.Second))
-	is.True(due.Before(r.FirstBy))
+	due, _ := serve.DemandRank(r, r.Arrived.Add(time.Second))
+	is.True(due.Before(r.FirstByteDeadline))
 }
--- a/pkg/serve/queue.go
+++ b/pkg/serve/queue.go
@@ -11,27 +11,27 @@
 // chooses the endpoint. Server decides whether a request may be sent again and what a refusal
 // promises. Implementations are safe for concurrent use.
 type Queue interface {
-	// Arrive counts a received request.
-	Arrive(r *Request)
+	// RecordArrival counts a received request.
+	RecordArrival(r *Request)
 	// Acquire blocks until a slot at an endpoint is granted, the request is refused, or ctx is
 	// done. The caller must return the slot with Release.
-	Acquire(ctx context.Context, r *Request, t Tried) (fleet.Endpoint, *Refusal)
+	Acquire(ctx context.Context, r *Request, prior PriorAttempts) (fleet.Endpoint, *Refusal)
 	// Release returns a slot.
-	Release(r *Request, e fleet.EndpointID, u Use)
-	// Began records how long after it was sent a request got the first byte of its response.
-	Began(r *Request, after time.Duration)
-	// HasOther reports whether an endpoint other than e could serve the request now.
-	HasOther(r *Request, e fleet.EndpointID) bool
+	Release(r *Request, e fleet.EndpointID, u SlotResult)
+	// RecordFirstByte records how long after it was sent a request got the first byte of its response.
+	RecordFirstByte(r *Request, after time.Duration)
+	// HasAlternative reports whether an endpoint other than e could serve the request now.
+	HasAlternative(r *Request, e fleet.EndpointID) bool
 	// ServiceTime returns the moving average of the service time of a service.
 	ServiceTime(service string) time.Duration
 }
 
-// Tried describes the earlier attempts of a request.
-type Tried struct {
-	// At holds the endpoints to avoid.
-	At Avoidance
-	// Begun reports whether a part of the response was sent to the client.
-	Begun bool
+// PriorAttempts describes the earlier attempts of a request.
+type PriorAttempts struct {
+	// Avoid holds the endpoints to avoid.
+	Avoid Avoidance
+	// ResponseStarted reports whether a part of the response was sent to the client.
+	ResponseStarted bool
 }
 
 // Avoidance maps endpoints to how strictly a request must avoid them.
@@ -41,17 +41,17 @@
 type Avoid int
 
 const (
-	// LastChoice endpoints failed the request and are used only if no other endpoint is
+	// LastResort endpoints failed the request and are used only if no other endpoint is
 	// available.
-	LastChoice Avoid = iota + 1
-	// Never excludes an endpoint, because another endpoint took over its address.
-	Never
+	LastResort Avoid = iota + 1
+	// Exclude excludes an endpoint, because another endpoint took over its address.
+	Exclude
 )
 
-// Use is the result of using a slot.
-type Use struct {
-	// Took is the duration of a successful run, or zero.
-	Took time.Duration
+// SlotResult is the result of using a slot.
+type SlotResult struct {
+	// Duration is the duration of a successful run, or zero.
+	Duration time.Duration
 	// Failed reports that the endpoint failed or rejected the request.
 	Failed bool
 	// Unreachable reports that no connection to the endpoint could be made.
--- a/pkg/serve/rate_limit_test.go
+++ b/pkg/serve/rate_limit_test.go
@@ -71,7 +71,7 @@
 		s.Serve(context.Background(), request("r1", fleet.AtMostOnce, false), &out)
 		is.True(!out.promisesNotRun())
 		start := time.Now()
-		time.AfterFunc(pause, dispatcher(s).Kick)
+		time.AfterFunc(pause, dispatcher(s).DispatchWaiting)
 		var next sink
 		s.Serve(context.Background(), request("r2", fleet.AtMostOnce, false), &next)
 		is.Equal(next.status, 200)
@@ -87,8 +87,8 @@
 		s := newServer(b)
 		s.Health.Signals.Observe(time.Now(), "b", signals.Response{RetryAfter: time.Minute}, time.Now(), false)
 		r := request("r", fleet.Idempotent, false)
-		is.True(!s.Queue.HasOther(r, "a"))
-		is.True(s.Queue.HasOther(r, "b"))
+		is.True(!s.Queue.HasAlternative(r, "a"))
+		is.True(s.Queue.HasAlternative(r, "b"))
 	})
 }
 
@@ -99,7 +99,7 @@
 		is := is.New(t)
 		b := newFakeBackend("a")
 		s := newServer(b)
-		b.setScript("a", script{verdict: serve.WrongEndpoint, signals: signals.Response{Draining: true}})
+		b.setScript("a", script{class: serve.WrongEndpoint, signals: signals.Response{Draining: true}})
 		var out sink
 		s.Serve(context.Background(), request("r", fleet.AtMostOnce, false), &out)
 		is.Equal(len(s.Health.Signals.Draining()), 0)
--- a/pkg/serve/request.go
+++ b/pkg/serve/request.go
@@ -26,9 +26,9 @@
 	Deadline time.Time
 	// ClientDeadline is the client's deadline, which is sent to endpoints.
 	ClientDeadline time.Time
-	// FirstBy is when the client disconnects if it has received no part of the response. It is
+	// FirstByteDeadline is when the client disconnects if it has received no part of the response. It is
 	// zero if only the deadline applies.
-	FirstBy time.Time
+	FirstByteDeadline time.Time
 	// Account is the client account, or empty if callers need none. Allowance is its rate
 	// limit, and Cost the charge of the request.
 	Account   string
@@ -42,8 +42,8 @@
 	// Affinity identifies a prompt prefix shared with other requests, or is empty. An endpoint
 	// that has processed the prefix responds sooner.
 	Affinity string
-	// StartOnly means that Deadline applies to the first byte of the response only.
-	StartOnly bool
+	// DeadlineIsStartOnly means that Deadline applies to the first byte of the response only.
+	DeadlineIsStartOnly bool
 	// LastEvent is the ID of the last event that the client received before this attempt, or
 	// empty.
 	LastEvent string
@@ -56,36 +56,36 @@
 	return Need{Service: r.Service, Model: r.Model, Adapter: r.Adapter}
 }
 
-// BeginBy returns the time at which the client disconnects if the response has not begun.
-func (r *Request) BeginBy() time.Time {
-	if r.FirstBy.IsZero() || r.Deadline.Before(r.FirstBy) {
+// StartDeadline returns the time at which the client disconnects if the response has not begun.
+func (r *Request) StartDeadline() time.Time {
+	if r.FirstByteDeadline.IsZero() || r.Deadline.Before(r.FirstByteDeadline) {
 		return r.Deadline
 	}
-	return r.FirstBy
+	return r.FirstByteDeadline
 }
 
-// Aim returns the time by which the response must begin to meet the objective.
-func (r *Request) Aim() time.Time { return r.Arrived.Add(r.Route.Objective) }
+// ObjectiveTime returns the time by which the response must begin to meet the objective.
+func (r *Request) ObjectiveTime() time.Time { return r.Arrived.Add(r.Route.Objective) }
 
-// Verdict classifies the response of an endpoint.
-type Verdict int
+// ResponseClass classifies the response of an endpoint.
+type ResponseClass int
 
 const (
-	// Answered means that the request has run, successfully or not.
-	Answered Verdict = iota
-	// Full means that the endpoint did not run the request for lack of slots.
-	Full
-	// NotHeld means that the endpoint did not run the request because it does not have the
+	// Completed means that the request has run, successfully or not.
+	Completed ResponseClass = iota
+	// Overloaded means that the endpoint did not run the request for lack of slots.
+	Overloaded
+	// NotLoaded means that the endpoint did not run the request because it does not have the
 	// model or adapter loaded.
-	NotHeld
+	NotLoaded
 	// WrongEndpoint means that another endpoint has the address. The request did not run.
 	WrongEndpoint
 )
 
-// Answer is the response of an endpoint. Its body must be closed.
-type Answer struct {
-	Verdict Verdict
-	Status  int
+// Response is the response of an endpoint. Its body must be closed.
+type Response struct {
+	Class  ResponseClass
+	Status int
 	// Load is the endpoint's load, or nil if the response does not report it.
 	Load *fleet.Load
 	// Signals holds the rate limit, pause and shutdown notice sent with the response.
@@ -97,7 +97,7 @@
 }
 
 // Failed reports whether the endpoint ran the request and returned a server error.
-func (a *Answer) Failed() bool { return a.Status >= 500 }
+func (a *Response) Failed() bool { return a.Status >= 500 }
 
 var (
 	// ErrNoConfig is returned while the host has not received a configuration.
@@ -155,18 +155,18 @@
 	// Send returns the head of the response. An error marked ErrNotSent means that nothing was
 	// sent, and a *Refusal that nothing may be sent at all. After any other error the request
 	// may have run. Canceling ctx makes the endpoint stop.
-	Send(ctx context.Context, r *Request, s Send) (*Answer, error)
-	// Run queries an endpoint for the state of a request that was sent to it.
-	Run(ctx context.Context, r *Request, e fleet.Endpoint) (Run, error)
+	Send(ctx context.Context, r *Request, s Send) (*Response, error)
+	// RunStatus queries an endpoint for the state of a request that was sent to it.
+	RunStatus(ctx context.Context, r *Request, e fleet.Endpoint) (RunStatus, error)
 }
 
-// Run is the state of a request as reported by an endpoint. It may lag behind by a few hundred
+// RunStatus is the state of a request as reported by an endpoint. It may lag behind by a few hundred
 // milliseconds.
-type Run struct {
-	// Held reports whether the request waits or runs at the endpoint.
-	Held bool
-	// Begun reports whether the endpoint has produced a part of the response.
-	Begun bool
+type RunStatus struct {
+	// Active reports whether the request waits or runs at the endpoint.
+	Active bool
+	// Started reports whether the endpoint has produced a part of the response.
+	Started bool
 }
 
 // Cause is the reason why a request was refused or failed.
@@ -213,7 +213,7 @@
 // Sink receives the response to a request.
 type Sink interface {
 	// Begin sends the head of an endpoint's response.
-	Begin(a *Answer)
+	Begin(a *Response)
 	// Write sends bytes of the body without buffering.
 	Write(p []byte) error
 	// Abort closes the connection so that the response does not look complete.
--- a/pkg/serve/retry_budget_test.go
+++ b/pkg/serve/retry_budget_test.go
@@ -20,7 +20,7 @@
 		slow := script{latency: 1300 * time.Millisecond, events: 3, broken: -1}
 		b.setScript("a", slow)
 		b.setScript("b", slow)
-		b.status = serve.Run{} // The report of the endpoint lags behind, too.
+		b.status = serve.RunStatus{} // The report of the endpoint lags behind, too.
 		s := newServer(b)
 		s.Budget = retry.NewBudget(retry.Limits{Window: 10 * time.Second}, 1)
 		var out sink
@@ -35,7 +35,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newFakeBackend("a")
-		b.status = serve.Run{}
+		b.status = serve.RunStatus{}
 		b.setScript("a", script{hang: true}, script{events: 3, broken: -1})
 		s := newServer(b)
 		s.Budget = retry.NewBudget(retry.Limits{Extra: 1, Window: 10 * time.Second}, 1)
@@ -51,7 +51,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newFakeBackend("a")
-		b.setScript("a", script{verdict: serve.Full}, script{events: 3, broken: -1})
+		b.setScript("a", script{class: serve.Overloaded}, script{events: 3, broken: -1})
 		s := newServer(b)
 		s.Budget = retry.NewBudget(retry.Limits{Extra: 1, Window: time.Second}, 1)
 		is.True(s.Budget.Take(time.Now(), "s")) // taken by another request
@@ -69,7 +69,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newFakeBackend("a")
-		b.setScript("a", script{verdict: serve.Full})
+		b.setScript("a", script{class: serve.Overloaded})
 		s := newServer(b)
 		s.Budget = retry.NewBudget(retry.Limits{Window: time.Second}, 1)
 		start := time.Now()
--- a/pkg/serve/select_endpoint.go
+++ b/pkg/serve/select_endpoint.go
@@ -18,12 +18,12 @@
 func (d *Dispatcher) pick(now time.Time, s *shard, w *waiter) (fleet.Endpoint, bool) {
 	var healthy, suspect []option
 	for _, e := range d.placement.Find(now, w.need).Ready {
-		c := d.health.Condition(now, e.ID, w.need.Service, w.need.What())
-		if c.Closed || c.Limited || w.avoid[e.ID] == Never {
+		c := d.health.Condition(now, e.ID, w.need.Service, w.need.QualifiedName())
+		if c.Closed || c.Limited || w.avoid[e.ID] == Exclude {
 			continue
 		}
 		o := option{e, candidate(e, c, s.serviceTime)}
-		if c.Suspect || w.avoid[e.ID] == LastChoice {
+		if c.Suspect || w.avoid[e.ID] == LastResort {
 			suspect = append(suspect, o)
 		} else {
 			healthy = append(healthy, o)
@@ -60,12 +60,12 @@
 	return options[i].endpoint, true
 }
 
-// HasOther implements Queue.
-func (d *Dispatcher) HasOther(r *Request, id fleet.EndpointID) bool {
+// HasAlternative implements Queue.
+func (d *Dispatcher) HasAlternative(r *Request, id fleet.EndpointID) bool {
 	n := r.Need()
 	now := d.now()
 	for _, e := range d.placement.Find(now, n).Ready {
-		c := d.health.Condition(now, e.ID, n.Service, n.What())
+		c := d.health.Condition(now, e.ID, n.Service, n.QualifiedName())
 		if e.ID != id && !c.Closed && !c.Limited && !c.Suspect && c.Own < candidate(e, c, initialServiceTime).Limit {
 			return true
 		}
@@ -77,12 +77,12 @@
 // first of them accepts requests again, or the zero time if that is not known.
 func (d *Dispatcher) limitedUntil(now time.Time, n Need, ready []fleet.Endpoint) (at time.Time, limited bool) {
 	for _, e := range ready {
-		c := d.health.Condition(now, e.ID, n.Service, n.What())
+		c := d.health.Condition(now, e.ID, n.Service, n.QualifiedName())
 		if !c.Limited {
 			return time.Time{}, false
 		}
-		if !c.FreeAt.IsZero() && (at.IsZero() || c.FreeAt.Before(at)) {
-			at = c.FreeAt
+		if !c.LimitedUntil.IsZero() && (at.IsZero() || c.LimitedUntil.Before(at)) {
+			at = c.LimitedUntil
 		}
 	}
 	return at, len(ready) > 0
@@ -91,7 +91,7 @@
 // candidate limits this host's requests to the slots that other hosts leave free according to
 // the endpoint's last load report. The weight of the report decays with its age relative to
 // the service time.
-func candidate(e fleet.Endpoint, c Condition, service time.Duration) routing.Candidate {
+func candidate(e fleet.Endpoint, c EndpointCondition, service time.Duration) routing.Candidate {
 	others := c.Load.Running + c.Load.Waiting
 	weight := math.Exp(-float64(c.LoadAge) / float64(service))
 	slots := float64(e.Slots) * (1 + slotOvercommit)
--- a/pkg/serve/serve_test.go
+++ b/pkg/serve/serve_test.go
@@ -37,7 +37,7 @@
 // A lost response of an idempotent request must be hidden from its client by a run at another
 // endpoint.
 func TestIdempotentRequestIsRetriedElsewhere(t *testing.T) {
-	for _, s := range []script{{lost: true}, {status: 500}, {verdict: serve.Full}, {notSent: true}} {
+	for _, s := range []script{{lost: true}, {status: 500}, {class: serve.Overloaded}, {notSent: true}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			b := newFakeBackend("a", "b")
@@ -184,7 +184,7 @@
 		go func() {
 			time.Sleep(time.Second)
 			b.setReady("a")
-			dispatcher(s).Kick()
+			dispatcher(s).DispatchWaiting()
 		}()
 		r := s.Serve(context.Background(), request("r", fleet.AtMostOnce, false), &out)
 		is.Equal(out.status, 200)
@@ -279,7 +279,7 @@
 			var list []script
 			for range rapid.IntRange(0, 4).Draw(rt, id) {
 				list = append(list, script{
-					verdict: rapid.SampledFrom([]serve.Verdict{serve.Answered, serve.Answered, serve.Full, serve.NotHeld, serve.WrongEndpoint}).Draw(rt, "verdict"),
+					class:   rapid.SampledFrom([]serve.ResponseClass{serve.Completed, serve.Completed, serve.Overloaded, serve.NotLoaded, serve.WrongEndpoint}).Draw(rt, "verdict"),
 					status:  rapid.SampledFrom([]int{200, 500}).Draw(rt, "status"),
 					notSent: rapid.IntRange(0, 5).Draw(rt, "not sent") == 0,
 					lost:    rapid.IntRange(0, 3).Draw(rt, "lost") == 0,
@@ -325,14 +325,14 @@
 func TestLostResponseIsDetected(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		status serve.Run
+		status serve.RunStatus
 		kind   fleet.RouteKind
 		sent   int
 	}{
-		{"endpoint no longer holds the request", serve.Run{}, fleet.Stream, 2},
-		{"endpoint started to respond", serve.Run{Held: true, Begun: true}, fleet.Stream, 2},
-		{"request waits at the endpoint", serve.Run{Held: true}, fleet.Stream, 1},
-		{"request may run only once", serve.Run{}, fleet.AtMostOnce, 1},
+		{"endpoint no longer holds the request", serve.RunStatus{}, fleet.Stream, 2},
+		{"endpoint started to respond", serve.RunStatus{Active: true, Started: true}, fleet.Stream, 2},
+		{"request waits at the endpoint", serve.RunStatus{Active: true}, fleet.Stream, 1},
+		{"request may run only once", serve.RunStatus{}, fleet.AtMostOnce, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/pkg/serve/server.go
+++ b/pkg/serve/server.go
@@ -84,7 +84,7 @@
 func (s *Server) Serve(ctx context.Context, r *Request, sink Sink) Result {
 	now := s.Now()
 	s.Budget.Request(now, r.Service)
-	if !r.StartOnly {
+	if !r.DeadlineIsStartOnly {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, r.Deadline)
 		defer cancel()
@@ -100,7 +100,7 @@
 	defer x.dropFallback()
 	// A blocked request must not count as demand for its model.
 	if !x.refuseIfBlocked(ctx) && x.chargeAccount(ctx) {
-		s.Queue.Arrive(r)
+		s.Queue.RecordArrival(r)
 		x.run(ctx)
 		x.refund()
 	}
@@ -124,7 +124,7 @@
 	// probe is set while the request runs as the probe of a suspected request.
 	probe Probe
 	// fallback is a failed response that is forwarded if no other endpoint succeeds.
-	fallback *Answer
+	fallback *Response
 	result   Result
 }
 
@@ -152,7 +152,7 @@
 		e, refusal := x.acquireSlot(ctx)
 		// The guard may have blocked the request while it waited.
 		if refusal == nil && x.refuseIfBlocked(ctx) {
-			x.server.Queue.Release(x.request, e.ID, Use{})
+			x.server.Queue.Release(x.request, e.ID, SlotResult{})
 			x.endProbe(e, ProbeNotRun)
 			return
 		}
@@ -173,7 +173,7 @@
 				return
 			}
 		case attemptFailed:
-			x.avoid[e.ID] = LastChoice
+			x.avoid[e.ID] = LastResort
 			if !x.mayRunAgain(ctx) {
 				x.finish(ctx, Refusal{Cause: CauseBroken, Detail: errors.New(x.result.Note)})
 				return
@@ -244,7 +244,7 @@
 		ctx, cancel = context.WithTimeout(ctx, minRetryTime)
 		defer cancel()
 	}
-	return x.server.Queue.Acquire(ctx, x.request, Tried{At: x.avoid, Begun: x.headSent})
+	return x.server.Queue.Acquire(ctx, x.request, PriorAttempts{Avoid: x.avoid, ResponseStarted: x.headSent})
 }
 
 // mayRunAgain reports whether the request may be sent again after it may have run.
@@ -253,7 +253,7 @@
 		x.result.Runs < x.request.Route.Attempts &&
 		!x.suspected() &&
 		ctx.Err() == nil &&
-		(x.headSent && x.request.StartOnly || x.request.Deadline.Sub(x.server.Now()) > minRetryTime)
+		(x.headSent && x.request.DeadlineIsStartOnly || x.request.Deadline.Sub(x.server.Now()) > minRetryTime)
 }
 
 // finish sends the final response of a request that no endpoint completed.
--- a/pkg/serve/urgency.go
+++ b/pkg/serve/urgency.go
@@ -28,7 +28,7 @@
 	switch {
 	case r.Route.Priority == 0:
 		return level % topPriorityLevels
-	case r.Route.Objective > 0 && now.After(r.Aim()):
+	case r.Route.Objective > 0 && now.After(r.ObjectiveTime()):
 		return lateUrgency
 	default:
 		return otherPrioritiesFrom + level%otherPrioritiesLevels
--- a/pkg/serve/urgency_test.go
+++ b/pkg/serve/urgency_test.go
@@ -18,13 +18,13 @@
 	is := is.New(t)
 	route := fleet.Route{Priority: 1, Objective: 400 * time.Millisecond}
 	arrivalOrder := func(*serve.Request, time.Time) int { return 0 }
-	is.True(inTime(route, arrivalOrder) < 0.3)
-	is.True(inTime(route, serve.Urgency) > 0.65)
+	is.True(onTime(route, arrivalOrder) < 0.3)
+	is.True(onTime(route, serve.Urgency) > 0.65)
 }
 
-// inTime simulates a replica that serves requests in order of urgency, and returns the share
+// onTime simulates a replica that serves requests in order of urgency, and returns the share
 // of requests that meet their objective.
-func inTime(route fleet.Route, urgency func(*serve.Request, time.Time) int) float64 {
+func onTime(route fleet.Route, urgency func(*serve.Request, time.Time) int) float64 {
 	const serviceTime, gap, requests = 40 * time.Millisecond, 32 * time.Millisecond, 310
 	start := time.Unix(1000, 0)
 	type waiter struct {
@@ -40,7 +40,7 @@
 		}
 		slices.SortStableFunc(queue, func(a, b waiter) int { return cmp.Compare(a.urgency, b.urgency) })
 		if len(queue) > 0 {
-			if !now.After(queue[0].Aim()) {
+			if !now.After(queue[0].ObjectiveTime()) {
 				onTime++
 			}
 			queue = queue[1:]
--- a/pkg/shares/queue.go
+++ b/pkg/shares/queue.go
@@ -206,7 +206,7 @@
 	var candidates []routing.Candidate
 	for _, t := range q.targets() {
 		id := string(t.Replica)
-		c := q.queues.cfg.Health.Condition(now, endpointID(t), need.Service, need.What())
+		c := q.queues.cfg.Health.Condition(now, endpointID(t), need.Service, need.QualifiedName())
 		if c.Closed || c.Limited {
 			continue
 		}
--- a/pkg/shares/shares.go
+++ b/pkg/shares/shares.go
@@ -102,15 +102,15 @@
 	return all
 }
 
-// Arrive implements serve.Queue. It does nothing, since usage is derived from waiting and running
+// RecordArrival implements serve.Queue. It does nothing, since usage is derived from waiting and running
 // requests.
-func (s *Queues) Arrive(*serve.Request) {}
+func (s *Queues) RecordArrival(*serve.Request) {}
 
 // Acquire implements serve.Queue.
-func (s *Queues) Acquire(ctx context.Context, r *serve.Request, t serve.Tried) (fleet.Endpoint, *serve.Refusal) {
+func (s *Queues) Acquire(ctx context.Context, r *serve.Request, t serve.PriorAttempts) (fleet.Endpoint, *serve.Refusal) {
 	terms := s.cfg.Terms(r)
 	deadline := r.Deadline
-	if t.Begun {
+	if t.ResponseStarted {
 		deadline = s.cfg.Now().Add(terms.Model.LoadEstimate + resumeGrace)
 	}
 	for range maxRetired {
@@ -130,23 +130,23 @@
 func endpointID(t state.Target) fleet.EndpointID { return fleet.EndpointID(t.Replica) }
 
 // Release implements serve.Queue.
-func (s *Queues) Release(r *serve.Request, e fleet.EndpointID, u serve.Use) {
+func (s *Queues) Release(r *serve.Request, e fleet.EndpointID, u serve.SlotResult) {
 	if u.Failed {
-		s.cfg.Health.Suspect(s.cfg.Now(), e)
+		s.cfg.Health.RecordConnectionFailure(s.cfg.Now(), e)
 	}
 	terms := s.cfg.Terms(r)
-	s.queue(terms.Model).release(terms.Customer, string(e), u.Took)
+	s.queue(terms.Model).release(terms.Customer, string(e), u.Duration)
 }
 
-// HasOther implements serve.Queue. It always returns false: without a latency limit in contracts,
+// HasAlternative implements serve.Queue. It always returns false: without a latency limit in contracts,
 // an unresponsive replica cannot be distinguished from a slow one.
-func (s *Queues) HasOther(*serve.Request, fleet.EndpointID) bool { return false }
+func (s *Queues) HasAlternative(*serve.Request, fleet.EndpointID) bool { return false }
 
-// ServiceTime implements serve.Queue. It is not used, since HasOther returns false.
+// ServiceTime implements serve.Queue. It is not used, since HasAlternative returns false.
 func (s *Queues) ServiceTime(string) time.Duration { return 0 }
 
-// Began implements serve.Queue. It does nothing, since shares depend on slots only.
-func (s *Queues) Began(*serve.Request, time.Duration) {}
+// RecordFirstByte implements serve.Queue. It does nothing, since shares depend on slots only.
+func (s *Queues) RecordFirstByte(*serve.Request, time.Duration) {}
 
 // Step grants free slots to waiting requests and refuses those that cannot be served in time any
 // more.
