--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -12,14 +12,14 @@
 type Waiter struct {
 	Customer string
 	Deadline time.Time
-	// Answer receives the result of the wait, at most once.
-	Answer chan Answer
+	// Result receives the result of the wait, at most once.
+	Result chan Result
 	index  int
 	seq    uint64
 }
 
-// Answer is the result of a wait: a replica, or the reason of a refusal.
-type Answer struct {
+// Result is the result of a wait: a replica, or the reason of a refusal.
+type Result struct {
 	Replica    string
 	Reason     Reason
 	RetryAfter time.Duration
@@ -35,7 +35,7 @@
 
 // NewWaiter returns a waiter that is not in a queue.
 func NewWaiter(customer string, deadline time.Time) *Waiter {
-	return &Waiter{Customer: customer, Deadline: deadline, Answer: make(chan Answer, 1), index: -1}
+	return &Waiter{Customer: customer, Deadline: deadline, Result: make(chan Result, 1), index: -1}
 }
 
 func (q *Queue) Push(w *Waiter) {
@@ -114,8 +114,8 @@
 	return n
 }
 
-// Waits reports whether a customer has a waiting request.
-func (q *Queue) Waits(customer string) bool { return q.customers[customer] != nil }
+// HasWaiter reports whether a customer has a waiting request.
+func (q *Queue) HasWaiter(customer string) bool { return q.customers[customer] != nil }
 
 // InOrder returns each customer's waiters in the order in which they are served.
 func (q *Queue) InOrder() map[string][]*Waiter {
@@ -165,14 +165,14 @@
 	return w
 }
 
-// Situation is the input of Estimate.
-type Situation struct {
+// EstimateInput is the input of Estimate.
+type EstimateInput struct {
 	// Slots is the total number of slots of the loaded replicas.
 	Slots int
 	// Ahead is the number of running and waiting requests that are served first.
 	Ahead int
-	// Service is the average service time of a request.
-	Service time.Duration
+	// ServiceTime is the average service time of a request.
+	ServiceTime time.Duration
 	// Loading reports whether a load is in progress. LoadElapsed is its duration so far.
 	Loading     bool
 	LoadElapsed time.Duration
@@ -205,7 +205,7 @@
 
 // Estimate returns the expected wait until a request is started. ok is false if no estimate is
 // possible.
-func Estimate(s Situation) (wait time.Duration, ok bool) {
+func Estimate(s EstimateInput) (wait time.Duration, ok bool) {
 	if s.Slots == 0 && !s.Loading && !s.CanLoad {
 		return 0, false
 	}
@@ -216,10 +216,10 @@
 		return 0, true
 	}
 	rounds := s.Ahead / s.Slots
-	return time.Duration(rounds) * s.Service, true
+	return time.Duration(rounds) * s.ServiceTime, true
 }
 
-func loadWait(s Situation) time.Duration {
+func loadWait(s EstimateInput) time.Duration {
 	switch {
 	case !s.Loading:
 		return s.LoadTime
@@ -234,18 +234,18 @@
 // returns the reason and when to retry. It requires spare time in proportion to the estimated
 // wait, and more for each rank, so that requests with a higher rank are refused first when
 // queues grow.
-func Admit(s Situation, left time.Duration, rank int) (reason Reason, retryAfter time.Duration) {
+func Admit(s EstimateInput, left time.Duration, rank int) (reason Reason, retryAfter time.Duration) {
 	wait, _ := Estimate(s)
-	return Keep(s, left-time.Duration(1+rank)*wait/spareDivisor)
+	return KeepWaiting(s, left-time.Duration(1+rank)*wait/spareDivisor)
 }
 
 // spareDivisor divides the estimated wait to get the spare time that Admit requires for rank
 // 0.
 const spareDivisor = 8
 
-// Keep decides whether a waiting request with the given time left should continue to wait.
+// KeepWaiting decides whether a waiting request with the given time left should continue to wait.
 // Otherwise it returns the reason and when to retry.
-func Keep(s Situation, left time.Duration) (reason Reason, retryAfter time.Duration) {
+func KeepWaiting(s EstimateInput, left time.Duration) (reason Reason, retryAfter time.Duration) {
 	wait, ok := Estimate(s)
 	switch {
 	case left <= 0:
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -71,22 +71,22 @@
 	second := time.Second
 	for _, c := range []struct {
 		name string
-		s    admission.Situation
+		s    admission.EstimateInput
 		left time.Duration
 		want admission.Reason
 		rank int
 	}{
-		{"free slot", admission.Situation{Slots: 1}, second, admission.ReasonNone, 0},
-		{"deadline has passed", admission.Situation{Slots: 1}, 0, admission.ReasonDeadline, 0},
-		{"no load can be started", admission.Situation{LoadTime: second}, 9 * second, admission.ReasonNoDecision, 0},
-		{"load finishes in time", admission.Situation{LoadTime: second, CanLoad: true}, 2 * second, admission.ReasonNone, 0},
-		{"load finishes too late", admission.Situation{LoadTime: 3 * second, CanLoad: true}, 2 * second, admission.ReasonLoad, 0},
-		{"load finishes in time without spare time", admission.Situation{LoadTime: 2 * second, CanLoad: true}, 2 * second, admission.ReasonLoad, 0},
-		{"load is nearly done", admission.Situation{LoadTime: 9 * second, Loading: true, LoadElapsed: 8 * second}, 2 * second, admission.ReasonNone, 0},
-		{"load is overdue", admission.Situation{LoadTime: second, Loading: true, LoadElapsed: 8 * second}, second, admission.ReasonLoad, 0},
-		{"queue is short enough", admission.Situation{Slots: 2, Ahead: 4, Service: second}, 3 * second, admission.ReasonNone, 0},
-		{"queue is short enough for a lower rank only", admission.Situation{Slots: 2, Ahead: 4, Service: second}, 3 * second, admission.ReasonQueue, 4},
-		{"queue is too long", admission.Situation{Slots: 2, Ahead: 8, Service: second}, 3 * second, admission.ReasonQueue, 0},
+		{"free slot", admission.EstimateInput{Slots: 1}, second, admission.ReasonNone, 0},
+		{"deadline has passed", admission.EstimateInput{Slots: 1}, 0, admission.ReasonDeadline, 0},
+		{"no load can be started", admission.EstimateInput{LoadTime: second}, 9 * second, admission.ReasonNoDecision, 0},
+		{"load finishes in time", admission.EstimateInput{LoadTime: second, CanLoad: true}, 2 * second, admission.ReasonNone, 0},
+		{"load finishes too late", admission.EstimateInput{LoadTime: 3 * second, CanLoad: true}, 2 * second, admission.ReasonLoad, 0},
+		{"load finishes in time without spare time", admission.EstimateInput{LoadTime: 2 * second, CanLoad: true}, 2 * second, admission.ReasonLoad, 0},
+		{"load is nearly done", admission.EstimateInput{LoadTime: 9 * second, Loading: true, LoadElapsed: 8 * second}, 2 * second, admission.ReasonNone, 0},
+		{"load is overdue", admission.EstimateInput{LoadTime: second, Loading: true, LoadElapsed: 8 * second}, second, admission.ReasonLoad, 0},
+		{"queue is short enough", admission.EstimateInput{Slots: 2, Ahead: 4, ServiceTime: second}, 3 * second, admission.ReasonNone, 0},
+		{"queue is short enough for a lower rank only", admission.EstimateInput{Slots: 2, Ahead: 4, ServiceTime: second}, 3 * second, admission.ReasonQueue, 4},
+		{"queue is too long", admission.EstimateInput{Slots: 2, Ahead: 8, ServiceTime: second}, 3 * second, admission.ReasonQueue, 0},
 	} {
 		if got, retryAfter := admission.Admit(c.s, c.left, c.rank); got != c.want || (got != admission.ReasonNone && retryAfter <= 0) {
 			t.Errorf("%s: got reason %q with retry after %s, want %q", c.name, got, retryAfter, c.want)
--- a/pkg/completion/call.go
+++ b/pkg/completion/call.go
@@ -83,7 +83,7 @@
 // Of returns the call that r was made from. r must come from a Runner.
 func Of(r *serve.Request) Call { return r.Wire.(*callState).call }
 
-// Keys is the ledger of idempotency keys that all hosts share.
+// Keys holds the idempotency keys that all hosts share.
 type Keys interface {
 	// Claim claims a key. If it returns neither an outcome nor an error, the
 	// caller holds the key and may send the call once.
--- a/pkg/completion/idempotency.go
+++ b/pkg/completion/idempotency.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/tealvane/tealvane/internal/api/callers"
 	"github.com/tealvane/tealvane/pkg/contract"
-	"github.com/tealvane/tealvane/pkg/dispatch"
 	"github.com/tealvane/tealvane/pkg/external"
+	"github.com/tealvane/tealvane/pkg/idempotency"
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
@@ -58,7 +58,7 @@
 	keys := st.runner.cfg.Keys
 	key := *st.call.Key
 	outcome, err := keys.Claim(ctx, key, st.call.Digest)
-	for errors.Is(err, dispatch.ErrTaken) && keys.Await(ctx, key) {
+	for errors.Is(err, idempotency.ErrClaimed) && keys.Await(ctx, key) {
 		outcome, err = keys.Claim(ctx, key, st.call.Digest)
 	}
 	if err != nil {
@@ -70,14 +70,14 @@
 
 func claimRefusal(err error) *Refusal {
 	switch {
-	case errors.Is(err, dispatch.ErrTaken):
+	case errors.Is(err, idempotency.ErrClaimed):
 		refusal := OutcomeUnknown("another attempt with this key may be running or have run")
 		refusal.Status = http.StatusConflict
 		refusal.RetryAfter = MinRetryAfter
 		return refusal
-	case errors.Is(err, dispatch.ErrMismatch):
+	case errors.Is(err, idempotency.ErrMismatch):
 		return &Refusal{Status: http.StatusUnprocessableEntity, Code: callers.ErrorDetailCodeInvalid, Message: err.Error()}
-	case errors.Is(err, dispatch.ErrExpired):
+	case errors.Is(err, idempotency.ErrExpired):
 		return OutcomeUnknown("%v", err)
 	default:
 		return NotRun("log_unavailable", LogRetryAfter, "%v", err)
@@ -93,7 +93,7 @@
 
 // appendText adds a token to the text that is recorded for retries.
 func (st *callState) appendText(t external.Token) {
-	if st.claimed && len(st.recordedText) <= dispatch.MaxOutcomeBytes {
+	if st.claimed && len(st.recordedText) <= idempotency.MaxOutcomeBytes {
 		st.recordedText = append(st.recordedText, t.Text...)
 	}
 }
--- a/pkg/entryhost/callers.go
+++ b/pkg/entryhost/callers.go
@@ -42,14 +42,14 @@
 
 // Claim implements completion.Keys.
 func (k keys) Claim(ctx context.Context, key record.Key, digest uint64) (*record.KeyOutcome, error) {
-	return k.host.ledger.Claim(ctx, key, digest)
+	return k.host.keyClaims.Claim(ctx, key, digest)
 }
 
 // Finish implements completion.Keys.
-func (k keys) Finish(o record.KeyOutcome) { k.host.ledger.Finish(o) }
+func (k keys) Finish(o record.KeyOutcome) { k.host.keyClaims.Finish(o) }
 
 // Release implements completion.Keys.
-func (k keys) Release(key record.Key) { k.host.ledger.Release(key) }
+func (k keys) Release(key record.Key) { k.host.keyClaims.Release(key) }
 
 // Await implements completion.Keys. It returns false if the host that claimed the key is no longer
 // live. Otherwise it blocks until the state changes or ctx ends.
--- a/pkg/entryhost/drain.go
+++ b/pkg/entryhost/drain.go
@@ -30,7 +30,7 @@
 		h.logger.Warn("graceful shutdown did not complete; aborting requests in progress", "error", err)
 	}
 	h.waitBackground(ctx)
-	h.waitFor(ctx, func() bool { return h.ledger.Pending() == 0 })
+	h.waitFor(ctx, func() bool { return h.keyClaims.Pending() == 0 })
 	// Bound the wait for the handover, because there may be no other host to take the pools.
 	handover, cancelHandover := context.WithTimeout(ctx, h.settings.Timing.SessionTTL)
 	defer cancelHandover()
--- a/pkg/entryhost/host.go
+++ b/pkg/entryhost/host.go
@@ -16,8 +16,9 @@
 	"github.com/cockroachdb/errors"
 	"github.com/google/uuid"
 	"github.com/tealvane/tealvane/pkg/completion"
-	"github.com/tealvane/tealvane/pkg/dispatch"
 	"github.com/tealvane/tealvane/pkg/external"
+	"github.com/tealvane/tealvane/pkg/fairqueue"
+	"github.com/tealvane/tealvane/pkg/idempotency"
 	"github.com/tealvane/tealvane/pkg/journal"
 	"github.com/tealvane/tealvane/pkg/lease"
 	"github.com/tealvane/tealvane/pkg/membership"
@@ -25,7 +26,6 @@
 	"github.com/tealvane/tealvane/pkg/record"
 	"github.com/tealvane/tealvane/pkg/serve"
 	"github.com/tealvane/tealvane/pkg/settings"
-	"github.com/tealvane/tealvane/pkg/shares"
 	"github.com/tealvane/tealvane/pkg/state"
 	"go.opentelemetry.io/otel/trace"
 	"golang.org/x/sync/errgroup"
@@ -57,10 +57,10 @@
 	tracer   trace.Tracer
 	metrics  *metrics
 
-	state   *state.State
-	journal *journal.Journal
-	ledger  *dispatch.Ledger
-	peers   peer.Sender
+	state     *state.State
+	journal   *journal.Journal
+	keyClaims *idempotency.Claims
+	peers     peer.Sender
 	// peerAddr is the address at which other entry hosts reach this one.
 	peerAddr string
 	node     *peer.Node
@@ -76,7 +76,7 @@
 	watch   *lease.Watcher
 
 	health *serve.Health
-	queues *shares.Queues
+	queues *fairqueue.Queues
 	guard  *guard
 	runner *completion.Runner
 
@@ -132,14 +132,14 @@
 		poolRunners:    map[string]*poolRunner{},
 		usageReportDue: make(chan struct{}, 1),
 	}
-	h.queues = shares.NewQueues(shares.Config{
-		Zone:     h.settings.Zone,
-		Replicas: replicas{h},
-		Health:   h.health,
-		Now:      h.now,
-		Terms:    requestTerms,
-		Wanted:   h.triggerUsageReport,
-		Refused:  h.metrics.recordRefusal,
+	h.queues = fairqueue.NewQueues(fairqueue.Config{
+		Zone:      h.settings.Zone,
+		Replicas:  replicas{h},
+		Health:    h.health,
+		Now:       h.now,
+		Terms:     requestTerms,
+		OnDemand:  h.triggerUsageReport,
+		OnRefused: h.metrics.recordRefusal,
 	})
 	h.guard = newGuard(h)
 	h.runner = completion.NewRunner(completion.Config{
@@ -166,14 +166,14 @@
 		h.peerAddr = h.settings.Peers.Advertise
 	}
 	h.journal = journal.New(log, peer.Reader{Peers: peers, Addrs: h.peerAddrs}, h.state, h.metrics.recordOutcome)
-	h.ledger = dispatch.NewLedger(h.self, h.journal, h.state.Keys, h.settings.Timing.BatchInterval, h.now)
+	h.keyClaims = idempotency.NewClaims(h.self, h.journal, h.state.Keys, h.settings.Timing.BatchInterval, h.now)
 	h.deferred = newDeferredRunner(h)
 }
 
 // loops returns the background loops of the host. They run until their context ends.
 func (h *Host) loops() []func(context.Context) {
 	return []func(context.Context){
-		h.journal.Run, h.ledger.Run, h.runSession, h.runClaims, h.runMembership, h.runPools,
+		h.journal.Run, h.keyClaims.Run, h.runSession, h.runClaims, h.runMembership, h.runPools,
 		h.runUsageReports, h.runQueues, h.runMaintenance, h.deferred.run, h.guard.runDecisions, h.guard.runCrashReports,
 	}
 }
--- a/pkg/entryhost/replicas.go
+++ b/pkg/entryhost/replicas.go
@@ -6,17 +6,17 @@
 
 	"github.com/tealvane/tealvane/pkg/completion"
 	"github.com/tealvane/tealvane/pkg/contract"
+	"github.com/tealvane/tealvane/pkg/fairqueue"
 	"github.com/tealvane/tealvane/pkg/fleet"
 	"github.com/tealvane/tealvane/pkg/record"
 	"github.com/tealvane/tealvane/pkg/serve"
-	"github.com/tealvane/tealvane/pkg/shares"
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-// replicas implements shares.Replicas from the replicated state and the platform's host list.
+// replicas implements fairqueue.Replicas from the replicated state and the platform's host list.
 type replicas struct{ host *Host }
 
-// Targets implements shares.Replicas. Endpoints that are draining are excluded.
+// Targets implements fairqueue.Replicas. Endpoints that are draining are excluded.
 func (r replicas) Targets(kind contract.Kind, poolName, model string) []state.Target {
 	h := r.host
 	if kind == contract.Service {
@@ -52,12 +52,12 @@
 	return targets
 }
 
-// Loading implements shares.Replicas.
+// Loading implements fairqueue.Replicas.
 func (r replicas) Loading(poolName, model string) bool {
 	return r.host.state.Pools.Loading(poolName, model)
 }
 
-// CanLoad implements shares.Replicas.
+// CanLoad implements fairqueue.Replicas.
 func (r replicas) CanLoad(poolName string) bool {
 	h := r.host
 	if !h.journal.LogReadable() || !h.journal.LogWritable() {
@@ -73,9 +73,9 @@
 }
 
 // requestTerms returns the contract terms that apply to a request.
-func requestTerms(r *serve.Request) shares.Terms {
+func requestTerms(r *serve.Request) fairqueue.Terms {
 	c := completion.Of(r)
-	return shares.Terms{Customer: c.Customer, Model: c.Model, Rank: c.Rank}
+	return fairqueue.Terms{Customer: c.Customer, Model: c.Model, Rank: c.Rank}
 }
 
 // cold reports whether no replica of a model is loaded.
--- a/pkg/shares/shares.go
+++ b/pkg/fairqueue/fairqueue.go
@@ -1,7 +1,7 @@
-// Package shares implements serve.Queue with fair sharing of a model's slots between customers. The
+// Package fairqueue implements serve.Queue with fair sharing of a model's slots between customers. The
 // next slot goes to the customer that was given the fewest, and within a customer to the request
 // with the earliest deadline. Requests that cannot be served in time are refused at once.
-package shares
+package fairqueue
 
 import (
 	"context"
@@ -51,10 +51,10 @@
 	Now      func() time.Time
 	// Terms returns the terms of a request.
 	Terms func(*serve.Request) Terms
-	// Wanted is called without a lock when a request waits or was refused.
-	Wanted func()
-	// Refused is called for each refusal.
-	Refused func(model, reason string)
+	// OnDemand is called without a lock when a request waits or was refused.
+	OnDemand func()
+	// OnRefused is called for each refusal.
+	OnRefused func(model, reason string)
 }
 
 // Queues holds the queues of all models on a host. It is safe for concurrent use; each queue has
--- a/pkg/shares/queue.go
+++ b/pkg/fairqueue/queue.go
@@ -1,4 +1,4 @@
-package shares
+package fairqueue
 
 import (
 	"context"
@@ -101,11 +101,11 @@
 			return target, nil
 		}
 	}
-	reason, retryAfter := admission.Admit(q.situation(now, t.Customer, q.waiting.Ahead(t.Customer, deadline)), deadline.Sub(now), t.Rank)
+	reason, retryAfter := admission.Admit(q.estimateInput(now, t.Customer, q.waiting.Ahead(t.Customer, deadline)), deadline.Sub(now), t.Rank)
 	if reason != admission.ReasonNone {
 		q.recordDemand(now, t.Customer, reason, retryAfter)
 		q.mu.Unlock()
-		q.queues.cfg.Wanted()
+		q.queues.cfg.OnDemand()
 		return nil, q.refuse(reason, retryAfter)
 	}
 	w := admission.NewWaiter(t.Customer, deadline)
@@ -113,7 +113,7 @@
 	q.waiting.Push(w)
 	q.useOf(t.Customer).waiting++
 	q.mu.Unlock()
-	q.queues.cfg.Wanted()
+	q.queues.cfg.OnDemand()
 	return q.await(ctx, w)
 }
 
@@ -122,8 +122,8 @@
 	defer timer.Stop()
 	refusal := refuse(string(admission.ReasonDeadline), 0)
 	select {
-	case answer := <-w.Answer:
-		return q.finish(w, answer)
+	case result := <-w.Result:
+		return q.finish(w, result)
 	case <-timer.C:
 	case <-ctx.Done():
 		refusal = refuse("cancelled", 0)
@@ -138,20 +138,20 @@
 		return nil, refusal
 	}
 	// The request was answered concurrently.
-	return q.finish(w, <-w.Answer)
+	return q.finish(w, <-w.Result)
 }
 
-func (q *queue) finish(w *admission.Waiter, a admission.Answer) (*state.Target, *serve.Refusal) {
-	if a.Reason != admission.ReasonNone {
-		return nil, q.refuse(a.Reason, a.RetryAfter)
+func (q *queue) finish(w *admission.Waiter, result admission.Result) (*state.Target, *serve.Refusal) {
+	if result.Reason != admission.ReasonNone {
+		return nil, q.refuse(result.Reason, result.RetryAfter)
 	}
 	for _, t := range q.targets() {
-		if string(t.Replica) == a.Replica {
+		if string(t.Replica) == result.Replica {
 			return &t, nil
 		}
 	}
 	// The replica was retired between grant and use.
-	q.returnSlot(w.Customer, a.Replica)
+	q.returnSlot(w.Customer, result.Replica)
 	return nil, nil
 }
 
@@ -160,7 +160,7 @@
 }
 
 func (q *queue) refuse(reason admission.Reason, retryAfter time.Duration) *serve.Refusal {
-	q.queues.cfg.Refused(q.model, string(reason))
+	q.queues.cfg.OnRefused(q.model, string(reason))
 	return refuse(string(reason), retryAfter)
 }
 
@@ -188,7 +188,7 @@
 // held.
 func (q *queue) reserve(now time.Time, customer string) *state.Target {
 	targets, candidates := q.candidates(now)
-	i := routing.Pick(candidates, routing.Choice{Zone: q.queues.cfg.Zone, Service: q.serviceTime}, rand.IntN)
+	i := routing.Pick(candidates, routing.Options{Zone: q.queues.cfg.Zone, ServiceTime: q.serviceTime}, rand.IntN)
 	if i < 0 || !q.queues.cfg.Health.Signals.TryAcquire(now, endpointID(targets[i])) {
 		return nil
 	}
@@ -212,13 +212,13 @@
 		}
 		targets = append(targets, t)
 		candidates = append(candidates, routing.Candidate{
-			Replica: id,
-			Zone:    t.Zone,
-			Own:     q.inflight[id],
-			Limit:   q.limits.Concurrency,
-			Suspect: c.Suspect,
-			Others:  q.otherLoad[id].running,
-			Age:     now.Sub(q.otherLoad[id].at),
+			Replica:       id,
+			Zone:          t.Zone,
+			OwnRequests:   q.inflight[id],
+			Limit:         q.limits.Concurrency,
+			Suspect:       c.Suspect,
+			OtherRequests: q.otherLoad[id].running,
+			ReportAge:     now.Sub(q.otherLoad[id].at),
 		})
 	}
 	return targets, candidates
@@ -263,7 +263,7 @@
 		}
 		q.waiting.Remove(w)
 		q.useOf(w.Customer).waiting--
-		w.Answer <- admission.Answer{Replica: string(target.Replica)}
+		w.Result <- admission.Result{Replica: string(target.Replica)}
 	}
 }
 
@@ -275,7 +275,7 @@
 	q.trackLoad(now)
 	for customer, list := range q.waiting.InOrder() {
 		for rank, w := range list {
-			reason, retryAfter := admission.Keep(q.situation(now, customer, rank), w.Deadline.Sub(now))
+			reason, retryAfter := admission.KeepWaiting(q.estimateInput(now, customer, rank), w.Deadline.Sub(now))
 			if reason != admission.ReasonNone {
 				q.refuseWaiting(now, w, reason, retryAfter)
 			}
@@ -288,7 +288,7 @@
 	q.waiting.Remove(w)
 	q.useOf(w.Customer).waiting--
 	q.recordDemand(now, w.Customer, reason, retryAfter)
-	w.Answer <- admission.Answer{Reason: reason, RetryAfter: retryAfter}
+	w.Result <- admission.Result{Reason: reason, RetryAfter: retryAfter}
 }
 
 func (q *queue) recordDemand(now time.Time, customer string, reason admission.Reason, retryAfter time.Duration) {
@@ -322,15 +322,15 @@
 	return old + (observed-old)/averageDivisor
 }
 
-// situation returns the input for estimating whether a customer's request can be served in time,
+// estimateInput returns the input for estimating whether a customer's request can be served in time,
 // with the number of its own requests ahead of it.
-func (q *queue) situation(now time.Time, customer string, ahead int) admission.Situation {
-	s := admission.Situation{
-		Slots:    q.share(customer, len(q.targets())*q.limits.Concurrency),
-		Ahead:    ahead + q.useOf(customer).inflight,
-		Service:  q.serviceTime,
-		LoadTime: q.loadTime,
-		CanLoad:  q.kind != contract.Service && q.queues.cfg.Replicas.CanLoad(q.pool),
+func (q *queue) estimateInput(now time.Time, customer string, ahead int) admission.EstimateInput {
+	s := admission.EstimateInput{
+		Slots:       q.share(customer, len(q.targets())*q.limits.Concurrency),
+		Ahead:       ahead + q.useOf(customer).inflight,
+		ServiceTime: q.serviceTime,
+		LoadTime:    q.loadTime,
+		CanLoad:     q.kind != contract.Service && q.queues.cfg.Replicas.CanLoad(q.pool),
 	}
 	if s.LoadTime == 0 {
 		s.LoadTime = q.limits.LoadEstimate
@@ -346,7 +346,7 @@
 func (q *queue) share(customer string, slots int) int {
 	users := 1
 	for other, u := range q.customers {
-		if other != customer && (u.inflight > 0 || q.waiting.Waits(other)) {
+		if other != customer && (u.inflight > 0 || q.waiting.HasWaiter(other)) {
 			users++
 		}
 	}
--- a/pkg/dispatch/bench_test.go
+++ b/pkg/idempotency/bench_test.go
@@ -1,4 +1,4 @@
-package dispatch_test
+package idempotency_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/google/uuid"
-	"github.com/tealvane/tealvane/pkg/dispatch"
+	"github.com/tealvane/tealvane/pkg/idempotency"
 	"github.com/tealvane/tealvane/pkg/record"
 	"github.com/tealvane/tealvane/pkg/state"
 )
@@ -40,7 +40,7 @@
 	for _, rate := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
 			st := state.New()
-			l := dispatch.NewLedger(record.HostRef{Host: "h"}, &foldAppender{st: st}, st.Keys, 10*time.Millisecond, time.Now)
+			l := idempotency.NewClaims(record.HostRef{Host: "h"}, &foldAppender{st: st}, st.Keys, 10*time.Millisecond, time.Now)
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			go l.Run(ctx)
--- a/pkg/dispatch/ledger.go
+++ b/pkg/idempotency/claims.go
@@ -1,7 +1,7 @@
-// Package dispatch runs non-idempotent requests at most once. A request is sent to an endpoint
+// Package idempotency runs non-idempotent requests at most once. A request is sent to an endpoint
 // only after its idempotency key was claimed by a record in the log. The first claim in the
 // log is valid for all hosts. Claims and outcomes are appended in batches.
-package dispatch
+package idempotency
 
 import (
 	"context"
@@ -27,8 +27,8 @@
 	// ErrUnavailable is returned if the key could not be claimed. The request must not be
 	// sent.
 	ErrUnavailable = errors.New("the log is out of reach")
-	// ErrTaken is returned if another attempt holds the key. Its outcome is unknown.
-	ErrTaken = errors.New("the key is taken, its outcome is unknown")
+	// ErrClaimed is returned if another attempt holds the key. Its outcome is unknown.
+	ErrClaimed = errors.New("the key is taken, its outcome is unknown")
 	// ErrExpired is returned if the key is older than the retention period of keys.
 	ErrExpired = errors.New("the key is older than the kept keys")
 	// ErrMismatch is returned if the key was used for a different request.
@@ -40,8 +40,8 @@
 	Append(ctx context.Context, r record.Record) (state.Outcome, error)
 }
 
-// Ledger claims idempotency keys for one host. It is safe for concurrent use.
-type Ledger struct {
+// Claims claims idempotency keys for one host. It is safe for concurrent use.
+type Claims struct {
 	self     record.HostRef
 	appender Appender
 	keys     *state.Keys
@@ -66,9 +66,9 @@
 	abandoned bool
 }
 
-// NewLedger returns a ledger that appends at most one record per interval.
-func NewLedger(self record.HostRef, appender Appender, keys *state.Keys, interval time.Duration, now func() time.Time) *Ledger {
-	return &Ledger{
+// NewClaims returns a Claims that appends at most one record per interval.
+func NewClaims(self record.HostRef, appender Appender, keys *state.Keys, interval time.Duration, now func() time.Time) *Claims {
+	return &Claims{
 		self:     self,
 		appender: appender,
 		keys:     keys,
@@ -82,7 +82,7 @@
 // Claim claims a key for a request with the given digest. If the request was completed before,
 // Claim returns its outcome. If both results are nil, the caller owns the key and must call
 // Finish or Release.
-func (l *Ledger) Claim(ctx context.Context, key record.Key, digest uint64) (*record.KeyOutcome, error) {
+func (l *Claims) Claim(ctx context.Context, key record.Key, digest uint64) (*record.KeyOutcome, error) {
 	if outcome, err := l.lookup(key, digest); outcome != nil || err != nil {
 		return outcome, err
 	}
@@ -116,7 +116,7 @@
 
 // lookup returns the outcome or error of a key according to the state, or nil for both if the
 // key is free.
-func (l *Ledger) lookup(key record.Key, digest uint64) (*record.KeyOutcome, error) {
+func (l *Claims) lookup(key record.Key, digest uint64) (*record.KeyOutcome, error) {
 	entry := l.keys.Get(key)
 	if entry.State == state.KeyExpired {
 		return nil, ErrExpired
@@ -130,16 +130,16 @@
 	if entry.State == state.KeyDone {
 		return &entry.Outcome, nil
 	}
-	return nil, ErrTaken
+	return nil, ErrClaimed
 }
 
 // submitClaim queues a claim unless the same key is in use on this host. Otherwise two
 // requests would treat the same claim as their own, and both would run.
-func (l *Ledger) submitClaim(op *operation) error {
+func (l *Claims) submitClaim(op *operation) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.active[op.claim.Key] {
-		return ErrTaken
+		return ErrClaimed
 	}
 	if !l.pendingSince.IsZero() && l.now().Sub(l.pendingSince) > batchStallTimeout {
 		return ErrUnavailable
@@ -151,7 +151,7 @@
 
 // abandon marks a claim whose request was canceled. It returns false if the claim was
 // committed in the meantime.
-func (l *Ledger) abandon(op *operation) bool {
+func (l *Claims) abandon(op *operation) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
@@ -164,7 +164,7 @@
 }
 
 // Finish records the outcome of a request that was sent.
-func (l *Ledger) Finish(outcome record.KeyOutcome) {
+func (l *Claims) Finish(outcome record.KeyOutcome) {
 	if len(outcome.Body) > MaxOutcomeBytes {
 		outcome.Body = nil
 		outcome.Omitted = true
@@ -176,7 +176,7 @@
 }
 
 // Release releases the key of a request that was certainly not sent.
-func (l *Ledger) Release(key record.Key) {
+func (l *Claims) Release(key record.Key) {
 	attempt := l.keys.Get(key).Attempt
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -184,13 +184,13 @@
 	l.enqueue(&operation{release: &record.KeyRelease{Key: key, Attempt: attempt}})
 }
 
-func (l *Ledger) deactivate(key record.Key) {
+func (l *Claims) deactivate(key record.Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.active, key)
 }
 
-func (l *Ledger) enqueue(op *operation) {
+func (l *Claims) enqueue(op *operation) {
 	l.queue = append(l.queue, op)
 	select {
 	case l.wake <- struct{}{}:
@@ -199,7 +199,7 @@
 }
 
 // Pending returns the number of queued operations, plus one if a batch is being appended.
-func (l *Ledger) Pending() int {
+func (l *Claims) Pending() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := len(l.queue)
@@ -210,14 +210,14 @@
 }
 
 // Batches returns the number of batches that were started.
-func (l *Ledger) Batches() int {
+func (l *Claims) Batches() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.batches
 }
 
 // Run appends batches until ctx is done.
-func (l *Ledger) Run(ctx context.Context) {
+func (l *Claims) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -236,7 +236,7 @@
 	}
 }
 
-func (l *Ledger) nextBatch() []*operation {
+func (l *Claims) nextBatch() []*operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bytes, n := 0, 0
@@ -257,7 +257,7 @@
 
 // append appends one batch and reports whether it was committed. It retries with the same
 // record until it succeeds or ctx is done.
-func (l *Ledger) append(ctx context.Context, batch []*operation) bool {
+func (l *Claims) append(ctx context.Context, batch []*operation) bool {
 	d := record.Dispatch{Holder: l.self}
 	for _, op := range batch {
 		switch {
@@ -285,7 +285,7 @@
 
 // complete notifies the waiting callers of a committed batch and releases the keys of abandoned
 // claims.
-func (l *Ledger) complete(batch []*operation) {
+func (l *Claims) complete(batch []*operation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pendingSince = time.Time{}
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -52,8 +52,8 @@
 	b.hosts = max(1, n)
 }
 
-// Request counts a client request.
-func (b *Budget) Request(now time.Time, service string) {
+// RecordRequest counts a client request.
+func (b *Budget) RecordRequest(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.advance(now, service)
--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -29,7 +29,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, hosts-1).Draw(t, "host")]
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(now, "s")
+				b.RecordRequest(now, "s")
 				requests = append(requests, now)
 			} else if b.Take(now, "s") {
 				retries = append(retries, now)
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -11,12 +11,12 @@
 type Candidate struct {
 	Replica string
 	Zone    string
-	// Own is the number of this host's running requests at the replica.
-	Own int
-	// Others is the number of other hosts' requests at the replica according to its last load
-	// report, and Age the age of that report.
-	Others int
-	Age    time.Duration
+	// OwnRequests is the number of this host's running requests at the replica.
+	OwnRequests int
+	// OtherRequests is the number of other hosts' requests at the replica according to its last load
+	// report, and ReportAge the age of that report.
+	OtherRequests int
+	ReportAge     time.Duration
 	// Limit is the maximum number of this host's concurrent requests.
 	Limit int
 	// Suspect replicas failed recently and are used only if no other has a free slot.
@@ -26,16 +26,16 @@
 // load estimates the number of requests at the replica. The weight of the load report decays
 // with its age relative to the service time, since the reported requests end.
 func (c Candidate) load(service time.Duration) float64 {
-	weight := math.Exp(-float64(c.Age) / float64(max(service, time.Millisecond)))
-	return float64(c.Own) + float64(c.Others)*weight
+	weight := math.Exp(-float64(c.ReportAge) / float64(max(service, time.Millisecond)))
+	return float64(c.OwnRequests) + float64(c.OtherRequests)*weight
 }
 
-// Choice holds the parameters of Pick.
-type Choice struct {
+// Options holds the parameters of Pick.
+type Options struct {
 	// Zone is the availability zone of this host.
 	Zone string
-	// Service is the average service time of a request.
-	Service time.Duration
+	// ServiceTime is the average service time of a request.
+	ServiceTime time.Duration
 	// Affinity identifies a prompt prefix shared with other requests, or is empty.
 	Affinity string
 }
@@ -49,14 +49,14 @@
 // availability zone if there is any, chosen by rendezvous hashing if an affinity is set. The
 // second is chosen at random, so that hosts with the same outdated load reports do not all
 // choose the same replica.
-func Pick(candidates []Candidate, c Choice, pick func(n int) int) int {
+func Pick(candidates []Candidate, options Options, pick func(n int) int) int {
 	var available, sameZone []int
 	for i, x := range candidates {
-		if x.Own >= x.Limit {
+		if x.OwnRequests >= x.Limit {
 			continue
 		}
 		available = append(available, i)
-		if x.Zone == c.Zone {
+		if x.Zone == options.Zone {
 			sameZone = append(sameZone, i)
 		}
 	}
@@ -67,11 +67,11 @@
 		sameZone = available
 	}
 	a := sameZone[pick(len(sameZone))]
-	if c.Affinity != "" {
-		a = preferred(candidates, sameZone, c.Affinity)
+	if options.Affinity != "" {
+		a = preferred(candidates, sameZone, options.Affinity)
 	}
 	b := available[pick(len(available))]
-	if better(candidates[b], candidates[a], c.Service) {
+	if better(candidates[b], candidates[a], options.ServiceTime) {
 		return b
 	}
 	return a
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -20,20 +20,20 @@
 		room := false
 		for i := range rapid.IntRange(0, 6).Draw(t, "n") {
 			c := routing.Candidate{
-				Replica: fmt.Sprint(i),
-				Own:     rapid.IntRange(0, 4).Draw(t, "own"),
-				Others:  rapid.IntRange(0, 9).Draw(t, "others"),
-				Limit:   rapid.IntRange(1, 4).Draw(t, "limit"),
-				Suspect: rapid.Bool().Draw(t, "suspect"),
+				Replica:       fmt.Sprint(i),
+				OwnRequests:   rapid.IntRange(0, 4).Draw(t, "own"),
+				OtherRequests: rapid.IntRange(0, 9).Draw(t, "others"),
+				Limit:         rapid.IntRange(1, 4).Draw(t, "limit"),
+				Suspect:       rapid.Bool().Draw(t, "suspect"),
 			}
-			room = room || c.Own < c.Limit
+			room = room || c.OwnRequests < c.Limit
 			list = append(list, c)
 		}
-		i := routing.Pick(list, routing.Choice{Zone: "z", Service: time.Second}, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
+		i := routing.Pick(list, routing.Options{Zone: "z", ServiceTime: time.Second}, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
 		if (i >= 0) != room {
 			t.Fatalf("picked %d of %+v, a slot is free: %t", i, list, room)
 		}
-		if i >= 0 && list[i].Own >= list[i].Limit {
+		if i >= 0 && list[i].OwnRequests >= list[i].Limit {
 			t.Fatalf("picked %+v, which has no free slot", list[i])
 		}
 	})
@@ -113,13 +113,13 @@
 	list := make([]routing.Candidate, len(replicas))
 	for i, r := range replicas {
 		list[i] = routing.Candidate{
-			Own:    r.own[host],
-			Others: r.reportedLoad(now, lag) - loadAt(r.ownLoad[host], now-lag),
-			Age:    lag,
-			Limit:  simRequests,
+			OwnRequests:   r.own[host],
+			OtherRequests: r.reportedLoad(now, lag) - loadAt(r.ownLoad[host], now-lag),
+			ReportAge:     lag,
+			Limit:         simRequests,
 		}
 	}
-	return routing.Pick(list, routing.Choice{Service: simService}, rnd.IntN)
+	return routing.Pick(list, routing.Options{ServiceTime: simService}, rnd.IntN)
 }
 
 // simulate returns the 99th percentile of the response time.
@@ -203,7 +203,7 @@
 			if at[key] == nil {
 				at[key] = map[int]int{}
 			}
-			at[key][routing.Pick(list, routing.Choice{Affinity: key, Service: time.Second}, rnd.IntN)]++
+			at[key][routing.Pick(list, routing.Options{Affinity: key, ServiceTime: time.Second}, rnd.IntN)]++
 		}
 	}
 	used := map[int]bool{}
@@ -217,10 +217,10 @@
 
 	for i := range list {
 		busy := slices.Clone(list)
-		busy[i].Own = 5
+		busy[i].OwnRequests = 5
 		rnd := rand.New(rand.NewPCG(1, 1))
 		for range 20 {
-			got := routing.Pick(busy, routing.Choice{Affinity: "d1", Service: time.Second}, func(n int) int { return (i + 1 + rnd.IntN(n-1)) % n })
+			got := routing.Pick(busy, routing.Options{Affinity: "d1", ServiceTime: time.Second}, func(n int) int { return (i + 1 + rnd.IntN(n-1)) % n })
 			is.True(got != i)
 		}
 	}
@@ -237,7 +237,7 @@
 	}
 	rnd := rand.New(rand.NewPCG(1, 1))
 	pick := func(list []routing.Candidate, affinity string) int {
-		return routing.Pick(list, routing.Choice{Zone: "a", Affinity: affinity, Service: time.Second}, rnd.IntN)
+		return routing.Pick(list, routing.Options{Zone: "a", Affinity: affinity, ServiceTime: time.Second}, rnd.IntN)
 	}
 	for _, affinity := range []string{"", "d1", "d2", "d3"} {
 		for range 20 {
@@ -245,7 +245,7 @@
 		}
 	}
 	busy := slices.Clone(list)
-	busy[1].Own = 5
+	busy[1].OwnRequests = 5
 	far := 0
 	for range 60 {
 		if pick(busy, "") != 1 {
--- a/pkg/serve/dispatcher.go
+++ b/pkg/serve/dispatcher.go
@@ -164,7 +164,7 @@
 		s.mu.Unlock()
 		return e, nil
 	}
-	input, missing := d.situation(now, w)
+	input, missing := d.holdInput(now, w)
 	until, retryAfter, hold := d.hold(r, input)
 	if !hold || !input.HasEndpoints {
 		s.keepDemand(now, w.need, input)
@@ -222,7 +222,7 @@
 		}
 		now := d.now()
 		s.mu.Lock()
-		input, _ := d.situation(now, w)
+		input, _ := d.holdInput(now, w)
 		next, retryAfter, hold := d.hold(w.request, input)
 		if hold && ctx.Err() == nil {
 			s.mu.Unlock()
@@ -251,9 +251,9 @@
 	}
 }
 
-// situation returns the input of Hold for a waiter. missing reports whether the request needs
+// holdInput returns the input of Hold for a waiter. missing reports whether the request needs
 // a model that no endpoint can serve now and that should be loaded.
-func (d *Dispatcher) situation(now time.Time, w *waiter) (s HoldInput, missing bool) {
+func (d *Dispatcher) holdInput(now time.Time, w *waiter) (s HoldInput, missing bool) {
 	f := d.placement.Find(now, w.need)
 	limitedUntil, limited := d.limitedUntil(now, w.need, f.Ready)
 	s = HoldInput{Now: now, Ready: len(f.Ready) > 0 && !limited, ReadyAt: f.ReadyAt, ColdReadyAt: f.ColdReadyAt, HasEndpoints: f.HasEndpoints, NotConfigured: f.NotConfigured, Limited: limited}
--- a/pkg/serve/health.go
+++ b/pkg/serve/health.go
@@ -176,10 +176,10 @@
 
 // EndpointCondition is the state of an endpoint for one model or adapter, as used by routing.
 type EndpointCondition struct {
-	Own     int
-	Load    fleet.Load
-	LoadAge time.Duration
-	Suspect bool
+	OwnRequests int
+	Load        fleet.Load
+	LoadAge     time.Duration
+	Suspect     bool
 	// Closed reports that the endpoint must not get requests for the model or adapter now.
 	Closed bool
 	// Limited reports that this host has used up its part of the endpoint's request rate, or
@@ -201,7 +201,7 @@
 	return EndpointCondition{
 		Limited:      limited,
 		LimitedUntil: limitedUntil,
-		Own:          c.running,
+		OwnRequests:  c.running,
 		Load:         c.load,
 		LoadAge:      now.Sub(c.loadAt),
 		Suspect:      now.Before(c.suspectUntil) || c.failureRate > h.serviceFailureRate[service]+failureRateMargin || c.running > 0 && now.Sub(c.lastByte) > stalledAfter,
--- a/pkg/serve/select_endpoint.go
+++ b/pkg/serve/select_endpoint.go
@@ -53,7 +53,7 @@
 	for i, o := range options {
 		candidates[i] = o.candidate
 	}
-	i := routing.Pick(candidates, routing.Choice{Zone: d.zone, Service: service, Affinity: affinity}, rand.IntN)
+	i := routing.Pick(candidates, routing.Options{Zone: d.zone, ServiceTime: service, Affinity: affinity}, rand.IntN)
 	if i < 0 {
 		return fleet.Endpoint{}, false
 	}
@@ -66,7 +66,7 @@
 	now := d.now()
 	for _, e := range d.placement.Find(now, n).Ready {
 		c := d.health.Condition(now, e.ID, n.Service, n.QualifiedName())
-		if e.ID != id && !c.Closed && !c.Limited && !c.Suspect && c.Own < candidate(e, c, initialServiceTime).Limit {
+		if e.ID != id && !c.Closed && !c.Limited && !c.Suspect && c.OwnRequests < candidate(e, c, initialServiceTime).Limit {
 			return true
 		}
 	}
@@ -96,11 +96,11 @@
 	weight := math.Exp(-float64(c.LoadAge) / float64(service))
 	slots := float64(e.Slots) * (1 + slotOvercommit)
 	return routing.Candidate{
-		Replica: string(e.ID),
-		Zone:    e.Zone,
-		Own:     c.Own,
-		Others:  others,
-		Age:     c.LoadAge,
-		Limit:   max(1, int(slots-float64(others)*weight)),
+		Replica:       string(e.ID),
+		Zone:          e.Zone,
+		OwnRequests:   c.OwnRequests,
+		OtherRequests: others,
+		ReportAge:     c.LoadAge,
+		Limit:         max(1, int(slots-float64(others)*weight)),
 	}
 }
--- a/pkg/serve/server.go
+++ b/pkg/serve/server.go
@@ -83,7 +83,7 @@
 // client disconnects.
 func (s *Server) Serve(ctx context.Context, r *Request, sink Sink) Result {
 	now := s.Now()
-	s.Budget.Request(now, r.Service)
+	s.Budget.RecordRequest(now, r.Service)
 	if !r.DeadlineIsStartOnly {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, r.Deadline)
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -35,10 +35,10 @@
 	ErrNotSent = errors.New("request was not sent")
 	// ErrUnreachable is returned if no connection could be made. It wraps ErrNotSent.
 	ErrUnreachable = errors.Wrap(ErrNotSent, "no connection")
-	// ErrFull is returned if all connections to the endpoint are in use. It wraps ErrNotSent.
-	ErrFull = errors.Wrap(ErrNotSent, "all connections are in use")
-	// ErrForeign is returned if the connection carried only responses to other requests.
-	ErrForeign = errors.New("response belongs to another request")
+	// ErrPoolExhausted is returned if all connections to the endpoint are in use. It wraps ErrNotSent.
+	ErrPoolExhausted = errors.Wrap(ErrNotSent, "all connections are in use")
+	// ErrStrayResponse is returned if the connection carried only responses to other requests.
+	ErrStrayResponse = errors.New("response belongs to another request")
 )
 
 // Request is an HTTP request.
@@ -49,9 +49,9 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Own reports whether a response with the given header and status belongs to this request.
+	// IsOwnResponse reports whether a response with the given header and status belongs to this request.
 	// If nil, any response does.
-	Own func(http.Header, int) bool
+	IsOwnResponse func(http.Header, int) bool
 }
 
 // Pool holds the connections to one endpoint. It is safe for concurrent use.
@@ -106,7 +106,7 @@
 	p.mu.Lock()
 	if p.open >= p.limit {
 		p.mu.Unlock()
-		return nil, ErrFull
+		return nil, ErrPoolExhausted
 	}
 	p.open++
 	p.opened++
@@ -236,15 +236,15 @@
 		if err != nil {
 			return nil, err
 		}
-		if r.Own == nil || r.Own(resp.Header, resp.StatusCode) {
+		if r.IsOwnResponse == nil || r.IsOwnResponse(resp.Header, resp.StatusCode) {
 			return resp, nil
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStrayBytes))
 		if err != nil || n == maxStrayBytes {
-			return nil, ErrForeign
+			return nil, ErrStrayResponse
 		}
 	}
-	return nil, ErrForeign
+	return nil, ErrStrayResponse
 }
 
 func readHead(c *conn, method string) (*http.Response, error) {
--- a/pkg/upstream/pool_test.go
+++ b/pkg/upstream/pool_test.go
@@ -57,12 +57,12 @@
 func doRequest(t *testing.T, p *upstream.Pool, id, body string) (string, error) {
 	t.Helper()
 	resp, err := p.Do(context.Background(), upstream.Request{
-		Method: http.MethodPost,
-		Target: "/a%2Fb?q=%20",
-		Host:   "h",
-		Header: http.Header{"X-Id": {id}},
-		Body:   []byte(body),
-		Own:    func(h http.Header, _ int) bool { return h.Get("X-Id") == id },
+		Method:        http.MethodPost,
+		Target:        "/a%2Fb?q=%20",
+		Host:          "h",
+		Header:        http.Header{"X-Id": {id}},
+		Body:          []byte(body),
+		IsOwnResponse: func(h http.Header, _ int) bool { return h.Get("X-Id") == id },
 	})
 	if err != nil {
 		return "", err
@@ -192,7 +192,7 @@
 	}()
 	<-started
 	_, err := doRequest(t, p, "2", "")
-	is.True(errors.Is(err, upstream.ErrFull))
+	is.True(errors.Is(err, upstream.ErrPoolExhausted))
 	is.True(errors.Is(err, upstream.ErrNotSent))
 	close(release)
 	is.NoErr(<-done)
