--- a/pkg/entryhost/callers.go
+++ b/pkg/entryhost/callers.go
@@ -11,7 +11,9 @@
 )
 
 // callersAPI returns the API for callers.
-func (h *Host) callersAPI() openai.Door { return openai.Door{Host: callersHost{h}, Runner: h.runner} }
+func (h *Host) callersAPI() openai.Handler {
+	return openai.Handler{Host: callersHost{h}, Runner: h.runner}
+}
 
 // callersHost implements openai.Host.
 type callersHost struct{ host *Host }
--- a/pkg/gateway/control.go
+++ b/pkg/gateway/control.go
@@ -160,11 +160,11 @@
 		for _, v := range g.directory.Live(now) {
 			live[v.ID] = true
 		}
-		g.endpoints.Retain(live)
+		g.endpoints.CloseExcept(live)
 		g.health.Prune(live)
 		g.metrics.gauge("endpoints", float64(len(live)))
 		g.metrics.gauge("endpoints_limited", float64(g.health.Signals.LimitedCount(now)))
 		g.metrics.gauge("requests_blocked", float64(g.guard.Blocklist.Count()))
-		g.metrics.gauge("endpoint_connections", float64(g.endpoints.Opened()))
+		g.metrics.gauge("endpoint_connections", float64(g.endpoints.OpenedConnections()))
 	})
 }
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -38,17 +38,17 @@
 	minConnections = 4
 )
 
-// Endpoints is the client of the endpoints.
-type Endpoints interface {
+// EndpointClient is the client of the endpoints.
+type EndpointClient interface {
 	serve.Backend
 	orders.EndpointClient
 	// Terminated reports whether an incarnation of an endpoint has terminated. An error means that this
 	// is unknown.
 	Terminated(ctx context.Context, e fleet.Endpoint) (bool, error)
-	// Retain closes the connections to all endpoints that are not in live.
-	Retain(live map[fleet.EndpointID]bool)
-	// Opened returns the number of connections opened to the endpoints in use.
-	Opened() int
+	// CloseExcept closes the connections to all endpoints that are not in live.
+	CloseExcept(live map[fleet.EndpointID]bool)
+	// OpenedConnections returns the number of connections opened to the endpoints in use.
+	OpenedConnections() int
 }
 
 // Config holds the dependencies of a host.
@@ -56,12 +56,12 @@
 	Settings Settings
 	Store    fleet.Store
 	Codec    fleet.Codec
-	// Endpoints creates the client of the endpoints.
-	Endpoints func(now func() time.Time, limit func(fleet.Endpoint) int) Endpoints
-	// Door creates the handler of client requests.
-	Door   func(*Gateway) http.Handler
-	Logger *slog.Logger
-	Tracer trace.TracerProvider
+	// NewEndpointClient creates the client of the endpoints.
+	NewEndpointClient func(now func() time.Time, limit func(fleet.Endpoint) int) EndpointClient
+	// NewHandler creates the handler of client requests.
+	NewHandler func(*Gateway) http.Handler
+	Logger     *slog.Logger
+	Tracer     trace.TracerProvider
 }
 
 // Gateway is an entry host.
@@ -72,7 +72,7 @@
 	codec     fleet.Codec
 	log       *slog.Logger
 	metrics   *metrics
-	endpoints Endpoints
+	endpoints EndpointClient
 
 	config atomic.Pointer[fleet.Config]
 	// listMu is held while a batch of list entries is applied and while a response is built
@@ -163,7 +163,7 @@
 	g.log = cfg.Logger.With("host", s.Host, "incarnation", g.self.Incarnation)
 	g.locator = fleet.NewLocator(g.directory)
 	g.health.Signals.Changed = g.signalChanged
-	g.endpoints = rateLimitedEndpoints{cfg.Endpoints(g.Now, g.connectionLimit), g.allowCall}
+	g.endpoints = rateLimitedEndpoints{cfg.NewEndpointClient(g.Now, g.connectionLimit), g.allowCall}
 	g.dispatcher = serve.NewDispatcher(s.Zone, locator{g.locator, g.config.Load}, g.health, g.Now, g.requestReport)
 	g.server = &serve.Server{
 		Backend: g.endpoints,
@@ -196,7 +196,7 @@
 
 		FormerStoreLoadLimit: g.locator.StoreLoadLimit,
 	}
-	g.handler = cfg.Door(g)
+	g.handler = cfg.NewHandler(g)
 	return g, nil
 }
 
--- a/pkg/gateway/signals.go
+++ b/pkg/gateway/signals.go
@@ -77,7 +77,7 @@
 // rateLimitedEndpoints applies the rate limits and pauses of endpoints to calls other than
 // client requests, which endpoints count like requests.
 type rateLimitedEndpoints struct {
-	Endpoints
+	EndpointClient
 	allow func(callKind, fleet.Endpoint) error
 }
 
@@ -86,7 +86,7 @@
 	if err := l.allow(callOrder, e); err != nil {
 		return orders.Invalid, err
 	}
-	return l.Endpoints.Order(ctx, e, o)
+	return l.EndpointClient.Order(ctx, e, o)
 }
 
 // Report implements orders.EndpointClient.
@@ -94,7 +94,7 @@
 	if err := l.allow(callReport, e); err != nil {
 		return fleet.Report{}, err
 	}
-	return l.Endpoints.Report(ctx, e)
+	return l.EndpointClient.Report(ctx, e)
 }
 
 // RunStatus implements serve.Backend.
@@ -102,7 +102,7 @@
 	if err := l.allow(callRun, e); err != nil {
 		return serve.RunStatus{}, err
 	}
-	return l.Endpoints.RunStatus(ctx, r, e)
+	return l.EndpointClient.RunStatus(ctx, r, e)
 }
 
 // Terminated reports whether an incarnation of an endpoint has terminated.
@@ -110,5 +110,5 @@
 	if err := l.allow(callEnded, e); err != nil {
 		return false, err
 	}
-	return l.Endpoints.Terminated(ctx, e)
+	return l.EndpointClient.Terminated(ctx, e)
 }
--- a/pkg/gateway/signals_inner_test.go
+++ b/pkg/gateway/signals_inner_test.go
@@ -81,7 +81,7 @@
 }
 
 // acceptingEndpoints accepts all calls.
-type acceptingEndpoints struct{ Endpoints }
+type acceptingEndpoints struct{ EndpointClient }
 
 func (acceptingEndpoints) Order(context.Context, fleet.Endpoint, orders.Order) (orders.Result, error) {
 	return orders.Accepted, nil
--- a/pkg/openai/completions.go
+++ b/pkg/openai/completions.go
@@ -21,7 +21,7 @@
 }
 
 // start validates a completion request and starts it.
-func (d Door) start(ctx context.Context, in generateRequest) (*completion.Answer, *completion.Refusal) {
+func (h Handler) start(ctx context.Context, in generateRequest) (*completion.Answer, *completion.Refusal) {
 	entry, m, refusal := findModel(ctx, in.model, false)
 	if refusal != nil {
 		return nil, refusal
@@ -35,14 +35,14 @@
 		// finds the recorded response.
 		ctx = context.WithoutCancel(ctx)
 	}
-	return d.Runner.Start(ctx, completion.Call{
+	return h.Runner.Start(ctx, completion.Call{
 		Customer:    entry.Contract.Customer,
 		Model:       m,
 		Rank:        entry.Contract.Class(m).RefuseRank,
 		RequestID:   completion.NewRequestID(),
 		Key:         key,
 		Digest:      completion.Digest(in.model, in.prompt),
-		Deadline:    d.deadlineFor(entry, m, in.deadlineMs),
+		Deadline:    h.deadlineFor(entry, m, in.deadlineMs),
 		Prompt:      in.prompt,
 		MaxTokens:   in.maxTokens.Or(0),
 		Temperature: in.temperature.Or(0),
@@ -62,8 +62,8 @@
 
 // generate runs a completion. If stream is set, it returns an event stream that
 // encode produces, and the complete result otherwise.
-func (d Door) generate(ctx context.Context, in generateRequest, stream bool, encode eventEncoder) (io.ReadCloser, result, *completion.Refusal) {
-	answer, refusal := d.start(ctx, in)
+func (h Handler) generate(ctx context.Context, in generateRequest, stream bool, encode eventEncoder) (io.ReadCloser, result, *completion.Refusal) {
+	answer, refusal := h.start(ctx, in)
 	if refusal != nil {
 		return nil, result{}, refusal
 	}
@@ -77,15 +77,15 @@
 }
 
 // CreateChatCompletion implements callers.Handler.
-func (d Door) CreateChatCompletion(ctx context.Context, req *callers.ChatRequest, params callers.CreateChatCompletionParams) (callers.CreateChatCompletionRes, error) {
-	events, answer, refusal := d.generate(ctx, generateRequest{
+func (h Handler) CreateChatCompletion(ctx context.Context, req *callers.ChatRequest, params callers.CreateChatCompletionParams) (callers.CreateChatCompletionRes, error) {
+	events, answer, refusal := h.generate(ctx, generateRequest{
 		model:       req.Model,
 		prompt:      chatPrompt(req.Messages),
 		maxTokens:   req.MaxTokens,
 		temperature: req.Temperature,
 		key:         params.IdempotencyKey,
 		deadlineMs:  params.XDeadlineMs,
-	}, req.Stream.Or(false), d.Chat)
+	}, req.Stream.Or(false), h.Chat)
 	switch {
 	case refusal != nil:
 		return nil, refusal
@@ -95,7 +95,7 @@
 	return &callers.ChatCompletion{
 		ID:      answer.id,
 		Object:  "chat.completion",
-		Created: d.Host.Now().Unix(),
+		Created: h.Host.Now().Unix(),
 		Model:   req.Model,
 		Choices: []callers.ChatChoice{{
 			Message:      callers.ChatMessage{Role: "assistant", Content: answer.text},
@@ -116,22 +116,22 @@
 }
 
 // CreateCompletion implements callers.Handler.
-func (d Door) CreateCompletion(ctx context.Context, req *callers.CompletionRequest, params callers.CreateCompletionParams) (callers.CreateCompletionRes, error) {
-	events, answer, refusal := d.generate(ctx, generateRequest{
+func (h Handler) CreateCompletion(ctx context.Context, req *callers.CompletionRequest, params callers.CreateCompletionParams) (callers.CreateCompletionRes, error) {
+	events, answer, refusal := h.generate(ctx, generateRequest{
 		model:       req.Model,
 		prompt:      req.Prompt,
 		maxTokens:   req.MaxTokens,
 		temperature: req.Temperature,
 		key:         params.IdempotencyKey,
 		deadlineMs:  params.XDeadlineMs,
-	}, req.Stream.Or(false), d.Text)
+	}, req.Stream.Or(false), h.Text)
 	switch {
 	case refusal != nil:
 		return nil, refusal
 	case events != nil:
 		return &callers.CreateCompletionOKTextEventStream{Data: events}, nil
 	}
-	out := newCompletion(answer.id, req.Model, d.Host.Now(), answer.text, answer.tokens, answer.reason)
+	out := newCompletion(answer.id, req.Model, h.Host.Now(), answer.text, answer.tokens, answer.reason)
 	return &out, nil
 }
 
@@ -147,7 +147,7 @@
 }
 
 // ListModels implements callers.Handler.
-func (d Door) ListModels(ctx context.Context) (*callers.ModelList, error) {
+func (h Handler) ListModels(ctx context.Context) (*callers.ModelList, error) {
 	c := callerContract(ctx).Contract
 	out := &callers.ModelList{Object: "list", Data: []callers.ModelEntry{}}
 	for _, m := range c.Models {
--- a/pkg/openai/deferred.go
+++ b/pkg/openai/deferred.go
@@ -13,7 +13,7 @@
 
 // CreateDeferred implements callers.Handler. The request is accepted once its
 // record is in the log; any host may then run it.
-func (d Door) CreateDeferred(ctx context.Context, req *callers.CompletionRequest) (*callers.Deferred, error) {
+func (h Handler) CreateDeferred(ctx context.Context, req *callers.CompletionRequest) (*callers.Deferred, error) {
 	entry, m, refusal := findModel(ctx, req.Model, false)
 	if refusal != nil {
 		return nil, refusal
@@ -29,7 +29,7 @@
 		return nil, completion.Invalid("a deferred request may have %d bytes", completion.MaxDeferredBytes)
 	}
 	id := completion.NewRequestID()
-	err = d.Host.Defer(ctx, record.Deferred{
+	err = h.Host.Defer(ctx, record.Deferred{
 		ID:       id,
 		Customer: entry.Contract.Customer,
 		Model:    m.Name,
@@ -45,8 +45,8 @@
 }
 
 // GetDeferred implements callers.Handler.
-func (d Door) GetDeferred(ctx context.Context, params callers.GetDeferredParams) (*callers.Deferred, error) {
-	r, ok := d.Host.Deferred(params.ID)
+func (h Handler) GetDeferred(ctx context.Context, params callers.GetDeferredParams) (*callers.Deferred, error) {
+	r, ok := h.Host.Deferred(params.ID)
 	if !ok || r.Customer != callerContract(ctx).Contract.Customer {
 		return nil, notFound("no deferred request %q", params.ID)
 	}
@@ -64,6 +64,6 @@
 		return out, nil
 	}
 	out.Status = callers.DeferredStatusDone
-	out.Answer.SetTo(newCompletion(r.ID, r.Model, d.Host.Now(), answer.Text, answer.Tokens, answer.Reason))
+	out.Answer.SetTo(newCompletion(r.ID, r.Model, h.Host.Now(), answer.Text, answer.Tokens, answer.Reason))
 	return out, nil
 }
--- a/pkg/openai/errors.go
+++ b/pkg/openai/errors.go
@@ -13,7 +13,7 @@
 )
 
 // NewError implements callers.Handler. It converts any error to the error response.
-func (d Door) NewError(_ context.Context, err error) *callers.ErrorStatusCodeWithHeaders {
+func (h Handler) NewError(_ context.Context, err error) *callers.ErrorStatusCodeWithHeaders {
 	r := asRefusal(err)
 	out := &callers.ErrorStatusCodeWithHeaders{
 		StatusCode: r.Status,
@@ -46,8 +46,8 @@
 
 // writeError writes the error response to requests that the generated code rejects
 // before it calls the handler.
-func (d Door) writeError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
-	out := d.NewError(ctx, err)
+func (h Handler) writeError(ctx context.Context, w http.ResponseWriter, _ *http.Request, err error) {
+	out := h.NewError(ctx, err)
 	body, _ := out.Response.MarshalJSON()
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	w.WriteHeader(out.StatusCode)
--- a/pkg/openai/events.go
+++ b/pkg/openai/events.go
@@ -53,19 +53,19 @@
 }
 
 // Chat returns the event stream of a chat completion.
-func (d Door) Chat(answer *completion.Answer) (io.ReadCloser, *completion.Refusal) {
-	return d.eventStream(answer, chatChunk)
+func (h Handler) Chat(answer *completion.Answer) (io.ReadCloser, *completion.Refusal) {
+	return h.eventStream(answer, chatChunk)
 }
 
 // Text returns the event stream of a text completion.
-func (d Door) Text(answer *completion.Answer) (io.ReadCloser, *completion.Refusal) {
-	return d.eventStream(answer, textChunk)
+func (h Handler) Text(answer *completion.Answer) (io.ReadCloser, *completion.Refusal) {
+	return h.eventStream(answer, textChunk)
 }
 
 // eventStream encodes a completion as an event stream. It blocks until the first
 // token arrives, so that an earlier failure is returned as a refusal. A stream
 // that breaks later ends with an error event and without the end marker.
-func (d Door) eventStream(answer *completion.Answer, encode func(external.Token) (string, chunkChoice)) (io.ReadCloser, *completion.Refusal) {
+func (h Handler) eventStream(answer *completion.Answer, encode func(external.Token) (string, chunkChoice)) (io.ReadCloser, *completion.Refusal) {
 	first, refusal := answer.Next()
 	if refusal != nil {
 		answer.Close()
@@ -73,7 +73,7 @@
 	}
 	reader, writer := io.Pipe()
 	w := &eventWriter{answer: answer, encode: encode, out: writer}
-	d.Runner.Go(func() { w.run(first) })
+	h.Runner.Go(func() { w.run(first) })
 	return reader, nil
 }
 
--- a/pkg/openai/middleware.go
+++ b/pkg/openai/middleware.go
@@ -10,9 +10,9 @@
 // closeWhenStopping closes each connection after its current response while the
 // host is shutting down. If only the shutdown closed idle connections, a request
 // already in transit on one would fail.
-func (d Door) closeWhenStopping(next http.Handler) http.Handler {
+func (h Handler) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d.Host.Stopping() {
+		if h.Host.Stopping() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
--- a/pkg/openai/server.go
+++ b/pkg/openai/server.go
@@ -37,8 +37,8 @@
 	Deferred(id string) (state.DeferredRequest, bool)
 }
 
-// Door implements callers.Handler and callers.SecurityHandler.
-type Door struct {
+// Handler implements callers.Handler and callers.SecurityHandler.
+type Handler struct {
 	Host   Host
 	Runner *completion.Runner
 }
@@ -46,19 +46,19 @@
 type contractKey struct{}
 
 // Server returns the HTTP server of the callers' API.
-func (d Door) Server(provider trace.TracerProvider) (*http.Server, error) {
-	server, err := callers.NewServer(d, d, callers.WithTracerProvider(provider), callers.WithErrorHandler(d.writeError))
+func (h Handler) Server(provider trace.TracerProvider) (*http.Server, error) {
+	server, err := callers.NewServer(h, h, callers.WithTracerProvider(provider), callers.WithErrorHandler(h.writeError))
 	if err != nil {
 		return nil, err
 	}
-	handler := d.closeWhenStopping(extractTrace(http.MaxBytesHandler(flushEvents(server), maxRequestBytes)))
+	handler := h.closeWhenStopping(extractTrace(http.MaxBytesHandler(flushEvents(server), maxRequestBytes)))
 	return &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}, nil
 }
 
 // HandleBearer implements callers.SecurityHandler. It adds the contract that lists
 // the token to the context.
-func (d Door) HandleBearer(ctx context.Context, _ callers.OperationName, t callers.Bearer) (context.Context, error) {
-	entry, ok := d.Host.Authenticate(t.Token)
+func (h Handler) HandleBearer(ctx context.Context, _ callers.OperationName, t callers.Bearer) (context.Context, error) {
+	entry, ok := h.Host.Authenticate(t.Token)
 	if !ok {
 		return ctx, unauthenticated()
 	}
@@ -85,16 +85,16 @@
 
 // deadlineFor returns the earlier of the contract's and the caller's deadline for
 // the start of the response.
-func (d Door) deadlineFor(entry state.ContractEntry, m contract.Model, clientDeadline callers.OptInt64) time.Time {
+func (h Handler) deadlineFor(entry state.ContractEntry, m contract.Model, clientDeadline callers.OptInt64) time.Time {
 	wait := entry.Contract.Class(m).MaxWait
 	if v, ok := clientDeadline.Get(); ok {
 		wait = min(wait, time.Duration(v)*time.Millisecond)
 	}
-	return d.Host.Now().Add(wait)
+	return h.Host.Now().Add(wait)
 }
 
 // CallService implements callers.Handler.
-func (d Door) CallService(ctx context.Context, req callers.ServiceBody, params callers.CallServiceParams) (callers.ServiceBody, error) {
+func (h Handler) CallService(ctx context.Context, req callers.ServiceBody, params callers.CallServiceParams) (callers.ServiceBody, error) {
 	entry, m, refusal := findModel(ctx, params.Service, true)
 	if refusal != nil {
 		return nil, refusal
@@ -103,14 +103,14 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	body, refusal := d.Runner.CallService(ctx, completion.Call{
+	body, refusal := h.Runner.CallService(ctx, completion.Call{
 		Customer:  entry.Contract.Customer,
 		Model:     m,
 		Rank:      entry.Contract.Class(m).RefuseRank,
 		RequestID: completion.NewRequestID(),
 		Key:       key,
 		Digest:    completion.Digest(m.Name, string(req)),
-		Deadline:  d.deadlineFor(entry, m, params.XDeadlineMs),
+		Deadline:  h.deadlineFor(entry, m, params.XDeadlineMs),
 		Body:      json.RawMessage(req),
 	})
 	if refusal != nil {
