--- a/pkg/contract/contract.go
+++ b/pkg/contract/contract.go
@@ -57,7 +57,7 @@
 	// Weights are the costs of keeping an idle model loaded and of a cold start.
 	// If set, they determine how long an idle model stays loaded; otherwise
 	// keep_alive applies.
-	Weights Weights `yaml:"weights"`
+	Weights CostWeights `yaml:"weights"`
 
 	byName map[string]*Model
 	doc    *yamlx.Document
@@ -77,8 +77,8 @@
 	RefuseRank int `yaml:"refuse_rank"`
 }
 
-// Weights are relative costs; only their ratio matters.
-type Weights struct {
+// CostWeights are relative costs; only their ratio matters.
+type CostWeights struct {
 	IdleHour        float64 `yaml:"idle_hour"`
 	ColdStartSecond float64 `yaml:"cold_start_second"`
 }
@@ -158,9 +158,9 @@
 	return []byte(hex.EncodeToString(sum[:]))
 }
 
-// Holds reports whether digest is one of the contract's credentials. It compares
+// HasCredential reports whether digest is one of the contract's credentials. It compares
 // in constant time so that response times reveal nothing about a digest.
-func (c *Contract) Holds(digest []byte) bool {
+func (c *Contract) HasCredential(digest []byte) bool {
 	match := 0
 	for _, credential := range c.Credentials {
 		match |= subtle.ConstantTimeCompare(digest, []byte(credential.SHA256))
--- a/pkg/entryhost/callers.go
+++ b/pkg/entryhost/callers.go
@@ -30,7 +30,7 @@
 func (c callersHost) Stopping() bool { return c.host.stopping.Load() }
 
 // Defer implements openai.Host.
-func (c callersHost) Defer(ctx context.Context, r record.Deferred) error {
+func (c callersHost) Defer(ctx context.Context, r record.DeferredRequest) error {
 	return errors.Wrap(c.host.appendWithTimeout(ctx, record.Record{Defer: &r}), "append deferred request")
 }
 
--- a/pkg/entryhost/crash_test.go
+++ b/pkg/entryhost/crash_test.go
@@ -79,7 +79,7 @@
 		body, err := json.Marshal(completion.DeferredBody{Prompt: prompt})
 		is.NoErr(err)
 		id := completion.NewRequestID()
-		deferred := record.Deferred{ID: id, Customer: "c", Model: "m0", Body: body}
+		deferred := record.DeferredRequest{ID: id, Customer: "c", Model: "m0", Body: body}
 		is.NoErr(hosts[0].appendWithTimeout(context.Background(), record.Record{ID: record.NewID(), Defer: &deferred}))
 		time.Sleep(2 * time.Minute)
 		r, ok := hosts[1].state.Deferred.Get(id)
--- a/pkg/entryhost/deferred.go
+++ b/pkg/entryhost/deferred.go
@@ -87,7 +87,7 @@
 	if err != nil || len(body) > completion.MaxDeferredBytes {
 		body, status = []byte(`{"error":"the answer is too large to keep"}`), http.StatusInsufficientStorage
 	}
-	_ = d.host.appendWithTimeout(ctx, record.Record{Finish: &record.DeferFinish{ID: r.ID, Status: status, Body: body}})
+	_ = d.host.appendWithTimeout(ctx, record.Record{Finish: &record.DeferredResponse{ID: r.ID, Status: status, Body: body}})
 }
 
 // answer runs the request and reports whether it should be retried.
--- a/pkg/entryhost/drain.go
+++ b/pkg/entryhost/drain.go
@@ -23,7 +23,7 @@
 	ctx, cancel := context.WithTimeout(ctx, h.settings.Timing.DrainTimeout)
 	defer cancel()
 	// Announce the shutdown first, so that no other host hands a pool over to this one.
-	_ = h.appendWithTimeout(ctx, record.Record{Renew: &record.HostRenew{HostRef: h.self, Leaving: true}})
+	_ = h.appendWithTimeout(ctx, record.Record{Renew: &record.SessionRenew{HostRef: h.self, Leaving: true}})
 	h.notifyPools()
 	wait.For(ctx, h.settings.Timing.ReadinessLag)
 	if err := callers.Shutdown(ctx); err != nil {
@@ -36,7 +36,7 @@
 	defer cancelHandover()
 	h.waitFor(handover, func() bool { return !h.ownsPools() })
 	if !h.ordersInFlight() {
-		_ = h.appendWithTimeout(ctx, record.Record{Gone: &record.HostGone{HostRef: h.self}})
+		_ = h.appendWithTimeout(ctx, record.Record{Gone: &record.SessionClose{HostRef: h.self}})
 	}
 	h.logger.Info("stopped")
 }
--- a/pkg/entryhost/loops.go
+++ b/pkg/entryhost/loops.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	return out.Void
+	return out.Rejected
 }
 
 // runSession opens the session of this host and sends heartbeats.
@@ -66,9 +66,9 @@
 // renewSession sends a heartbeat. If the session does not exist, for example because another host
 // considered this one dead and ended it, renewSession opens a new one.
 func (h *Host) renewSession(ctx context.Context) {
-	r := record.Record{Renew: &record.HostRenew{HostRef: h.self, Leaving: h.stopping.Load()}}
+	r := record.Record{Renew: &record.SessionRenew{HostRef: h.self, Leaving: h.stopping.Load()}}
 	if !h.state.Hosts.Has(h.self) {
-		r = record.Record{Join: &record.HostJoin{HostRef: h.self, PeerAddr: h.peerAddr, Zone: h.settings.Zone}}
+		r = record.Record{Join: &record.SessionOpen{HostRef: h.self, PeerAddr: h.peerAddr, Zone: h.settings.Zone}}
 	}
 	if err := h.appendWithTimeout(ctx, r); err != nil {
 		h.metrics.renewFailed()
@@ -147,7 +147,7 @@
 		unlisted := h.members.HostLost(now, s.Host)
 		h.membersMu.Unlock()
 		if s.PeerAddr == h.peerAddr || !live && unlisted {
-			_ = h.appendWithTimeout(ctx, record.Record{Gone: &record.HostGone{HostRef: s.HostRef}})
+			_ = h.appendWithTimeout(ctx, record.Record{Gone: &record.SessionClose{HostRef: s.HostRef}})
 		}
 	}
 }
@@ -305,6 +305,6 @@
 	}
 	before := h.now().Add(-keep)
 	if keep > 0 && before.Sub(h.state.Keys.Horizon()) > minHorizonAdvance {
-		_ = h.appendWithTimeout(ctx, record.Record{Horizon: &record.Horizon{Before: before}})
+		_ = h.appendWithTimeout(ctx, record.Record{Horizon: &record.KeyHorizon{Before: before}})
 	}
 }
--- a/pkg/entryhost/metrics.go
+++ b/pkg/entryhost/metrics.go
@@ -36,7 +36,7 @@
 // recordOutcome counts a record that was applied or rejected.
 func (m *metrics) recordOutcome(o state.Outcome) {
 	result := "accepted"
-	if o.Void != nil {
+	if o.Rejected != nil {
 		result = "void"
 	}
 	m.count("records", map[string]string{"result": result})
--- a/pkg/entryhost/operators.go
+++ b/pkg/entryhost/operators.go
@@ -138,8 +138,8 @@
 	if err != nil {
 		return nil, &statusError{http.StatusServiceUnavailable, err}
 	}
-	if out.Void != nil {
-		return nil, &statusError{http.StatusConflict, out.Void}
+	if out.Rejected != nil {
+		return nil, &statusError{http.StatusConflict, out.Rejected}
 	}
 	return &operators.Contract{
 		Customer: params.Customer,
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -202,13 +202,13 @@
 		}
 		if m.healthCheckedAt.Before(since) {
 			list = append(list, pool.Observation{
-				EndpointSeen: record.EndpointSeen{Endpoint: endpoint},
-				Draining:     t.memberDraining(m),
+				EndpointRegistered: record.EndpointRegistered{Endpoint: endpoint},
+				Draining:           t.memberDraining(m),
 			})
 			continue
 		}
 		o := pool.Observation{
-			EndpointSeen: record.EndpointSeen{
+			EndpointRegistered: record.EndpointRegistered{
 				Endpoint:      endpoint,
 				Incarnation:   m.status.Incarnation,
 				Addr:          m.host.Addr,
--- a/pkg/openai/deferred.go
+++ b/pkg/openai/deferred.go
@@ -29,7 +29,7 @@
 		return nil, completion.Invalid("a deferred request may have %d bytes", completion.MaxDeferredBytes)
 	}
 	id := completion.NewRequestID()
-	err = h.Host.Defer(ctx, record.Deferred{
+	err = h.Host.Defer(ctx, record.DeferredRequest{
 		ID:       id,
 		Customer: entry.Contract.Customer,
 		Model:    m.Name,
--- a/pkg/openai/server.go
+++ b/pkg/openai/server.go
@@ -32,7 +32,7 @@
 	Stopping() bool
 	// Defer records a deferred request. After an error the request may or may not
 	// be recorded.
-	Defer(ctx context.Context, d record.Deferred) error
+	Defer(ctx context.Context, d record.DeferredRequest) error
 	// Deferred returns the deferred request with the given ID.
 	Deferred(id string) (state.DeferredRequest, bool)
 }
--- a/pkg/pool/bench_test.go
+++ b/pkg/pool/bench_test.go
@@ -21,8 +21,8 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if out, _, err := st.Apply(st.Applied()+1, data); err != nil || out.Void != nil {
-			b.Fatal(err, out.Void)
+		if out, _, err := st.Apply(st.Applied()+1, data); err != nil || out.Rejected != nil {
+			b.Fatal(err, out.Rejected)
 		}
 	}
 	var doc strings.Builder
@@ -32,14 +32,14 @@
 	}
 	self := record.HostRef{Host: "h", Incarnation: "1"}
 	apply(record.Record{Contract: &record.Contract{Customer: "c", Document: []byte(doc.String())}})
-	apply(record.Record{Join: &record.HostJoin{HostRef: self}})
+	apply(record.Record{Join: &record.SessionOpen{HostRef: self}})
 	apply(record.Record{Claim: &record.PoolClaim{Pool: "p", Owner: self}})
 	epoch := st.Applied()
 	var list []pool.Observation
 	var decisions []record.Decision
 	for i := range endpoints {
-		seen := record.EndpointSeen{Endpoint: fmt.Sprint("e", i), Incarnation: "i", MemoryMB: 80000}
-		list = append(list, pool.Observation{EndpointSeen: seen, Reachable: true})
+		seen := record.EndpointRegistered{Endpoint: fmt.Sprint("e", i), Incarnation: "i", MemoryMB: 80000}
+		list = append(list, pool.Observation{EndpointRegistered: seen, Reachable: true})
 		decisions = append(decisions, record.Decision{Endpoint: &seen})
 	}
 	for i := range models {
--- a/pkg/pool/controller.go
+++ b/pkg/pool/controller.go
@@ -155,7 +155,7 @@
 // advance. If the contract has no weights, its keep-alive applies.
 func (c *Controller) keepAlivePlan(key modelKey, m state.PoolModel) keepalive.Plan {
 	gaps := c.gaps[key]
-	if gaps == nil || m.Weights == (contract.Weights{}) {
+	if gaps == nil || m.Weights == (contract.CostWeights{}) {
 		return keepalive.Plan{Keep: m.KeepAlive}
 	}
 	plan, known := c.plans[key]
@@ -258,7 +258,7 @@
 // them has ended. Until then the memory of retired replicas on endpoints without fencing
 // stays reserved.
 func (c *Controller) quiesce(now time.Time, p state.Pool) []Effect {
-	former := slices.ContainsFunc(p.Former, func(f state.Former) bool { return f.Owner == c.cfg.Self })
+	former := slices.ContainsFunc(p.Former, func(f state.FormerOwner) bool { return f.Owner == c.cfg.Self })
 	if !former || c.pendingBefore(p.Epoch) || now.Before(c.nextRecordAt) {
 		return nil
 	}
--- a/pkg/pool/failure_test.go
+++ b/pkg/pool/failure_test.go
@@ -165,7 +165,7 @@
 
 	var lost []record.Decision
 	for _, e := range old.Endpoints {
-		lost = append(lost, record.Decision{Lost: &record.EndpointLost{Endpoint: e.Endpoint, Incarnation: e.Incarnation}})
+		lost = append(lost, record.Decision{Lost: &record.EndpointRemoved{Endpoint: e.Endpoint, Incarnation: e.Incarnation}})
 	}
 	w.commit(record.Record{Plan: &record.Plan{Pool: testPool, Epoch: old.Epoch, Decisions: lost}})
 	w.applyRecords(h1, len(w.log))
--- a/pkg/pool/messages.go
+++ b/pkg/pool/messages.go
@@ -55,7 +55,7 @@
 // Observation is the state of an endpoint according to the platform's list and the endpoint
 // itself.
 type Observation struct {
-	record.EndpointSeen
+	record.EndpointRegistered
 	// Draining is set if the endpoint must get no new replicas.
 	Draining bool
 	// Reachable is set if the endpoint answered the last health check. Loaded is taken from that
--- a/pkg/pool/step.go
+++ b/pkg/pool/step.go
@@ -46,14 +46,14 @@
 	for _, name := range slices.Sorted(maps.Keys(s.c.observed)) {
 		o := s.c.observed[name]
 		known, ok := s.pool.Endpoints[name]
-		if !ok || known.Lost || known.EndpointSeen != o.EndpointSeen {
+		if !ok || known.Lost || known.EndpointRegistered != o.EndpointRegistered {
 			s.registerEndpoint(o)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.pool.Endpoints)) {
 		e := s.pool.Endpoints[name]
 		if _, listed := s.c.observed[name]; !listed && !e.Lost && s.c.pendingOrders(name) == 0 {
-			s.addDecision(record.Decision{Lost: &record.EndpointLost{Endpoint: name, Incarnation: e.Incarnation}})
+			s.addDecision(record.Decision{Lost: &record.EndpointRemoved{Endpoint: name, Incarnation: e.Incarnation}})
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	if o.Incarnation == "" || s.c.pendingOrders(o.Endpoint) > 0 {
 		return
 	}
-	seen := o.EndpointSeen
+	seen := o.EndpointRegistered
 	s.addDecision(record.Decision{Endpoint: &seen})
 }
 
--- a/pkg/pool/world_test.go
+++ b/pkg/pool/world_test.go
@@ -114,7 +114,7 @@
 		NewReplicaID:    func() record.ReplicaID { return record.ReplicaID(w.nextID("r")) },
 	})
 	w.hosts[i] = h
-	w.commit(record.Record{Join: &record.HostJoin{HostRef: ref}})
+	w.commit(record.Record{Join: &record.SessionOpen{HostRef: ref}})
 }
 
 func (w *world) encode(r record.Record) []byte {
@@ -192,7 +192,7 @@
 		o.abandoned = o.abandoned || o.from == h
 	}
 	if recordedAsGone {
-		w.commit(record.Record{Gone: &record.HostGone{HostRef: h.ref}})
+		w.commit(record.Record{Gone: &record.SessionClose{HostRef: h.ref}})
 	}
 	w.startHost(i)
 }
@@ -219,7 +219,7 @@
 		}
 		slices.Sort(loaded)
 		list = append(list, pool.Observation{
-			EndpointSeen: record.EndpointSeen{
+			EndpointRegistered: record.EndpointRegistered{
 				Endpoint:      e.name,
 				Incarnation:   e.incarnation,
 				MemoryMB:      capacityMB,
--- a/pkg/record/bench_test.go
+++ b/pkg/record/bench_test.go
@@ -13,7 +13,7 @@
 	key := record.Key{Customer: "customer-12", Value: uuid.Must(uuid.NewV7()).String()}
 	replica := record.ReplicaID(record.NewID())
 	for name, r := range map[string]record.Record{
-		"renew":   {Renew: &record.HostRenew{HostRef: ref}},
+		"renew":   {Renew: &record.SessionRenew{HostRef: ref}},
 		"claim":   {Dispatch: &record.Dispatch{Holder: ref, Claims: []record.KeyClaim{{Key: key, Digest: 1 << 60}}}},
 		"outcome": {Dispatch: &record.Dispatch{Holder: ref, Outcomes: []record.KeyOutcome{{Key: key, Status: 200, Body: make([]byte, 100)}}}},
 		"place": {Plan: &record.Plan{Pool: "pool-12", Epoch: 1 << 30, Seq: 1000, Decisions: []record.Decision{
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -38,22 +38,22 @@
 // Record is the envelope of a log record. Exactly one body is set. A record
 // whose body is unknown to this build has no effect.
 type Record struct {
-	Version  int            `cbor:"1,keyasint"`
-	ID       ID             `cbor:"2,keyasint"`
-	Contract *Contract      `cbor:"3,keyasint,omitempty"`
-	Join     *HostJoin      `cbor:"4,keyasint,omitempty"`
-	Renew    *HostRenew     `cbor:"5,keyasint,omitempty"`
-	Gone     *HostGone      `cbor:"6,keyasint,omitempty"`
-	Claim    *PoolClaim     `cbor:"7,keyasint,omitempty"`
-	Handover *Handover      `cbor:"8,keyasint,omitempty"`
-	Quiesced *Quiesced      `cbor:"9,keyasint,omitempty"`
-	Plan     *Plan          `cbor:"10,keyasint,omitempty"`
-	Dispatch *Dispatch      `cbor:"11,keyasint,omitempty"`
-	Horizon  *Horizon       `cbor:"12,keyasint,omitempty"`
-	Snapshot *Snapshot      `cbor:"13,keyasint,omitempty"`
-	Defer    *Deferred      `cbor:"14,keyasint,omitempty"`
-	Finish   *DeferFinish   `cbor:"15,keyasint,omitempty"`
-	Crashed  *EndpointCrash `cbor:"16,keyasint,omitempty"`
+	Version  int               `cbor:"1,keyasint"`
+	ID       ID                `cbor:"2,keyasint"`
+	Contract *Contract         `cbor:"3,keyasint,omitempty"`
+	Join     *SessionOpen      `cbor:"4,keyasint,omitempty"`
+	Renew    *SessionRenew     `cbor:"5,keyasint,omitempty"`
+	Gone     *SessionClose     `cbor:"6,keyasint,omitempty"`
+	Claim    *PoolClaim        `cbor:"7,keyasint,omitempty"`
+	Handover *Handover         `cbor:"8,keyasint,omitempty"`
+	Quiesced *Quiesced         `cbor:"9,keyasint,omitempty"`
+	Plan     *Plan             `cbor:"10,keyasint,omitempty"`
+	Dispatch *Dispatch         `cbor:"11,keyasint,omitempty"`
+	Horizon  *KeyHorizon       `cbor:"12,keyasint,omitempty"`
+	Snapshot *Snapshot         `cbor:"13,keyasint,omitempty"`
+	Defer    *DeferredRequest  `cbor:"14,keyasint,omitempty"`
+	Finish   *DeferredResponse `cbor:"15,keyasint,omitempty"`
+	Crashed  *EndpointCrash    `cbor:"16,keyasint,omitempty"`
 }
 
 // Contract publishes a customer's contract. It takes effect if Base is the
@@ -70,23 +70,23 @@
 	Incarnation Incarnation `cbor:"2,keyasint"`
 }
 
-// HostJoin opens the session of an entry host.
-type HostJoin struct {
+// SessionOpen opens the session of an entry host.
+type SessionOpen struct {
 	HostRef
 	PeerAddr string `cbor:"3,keyasint"`
 	Zone     string `cbor:"4,keyasint"`
 }
 
-// HostRenew is the heartbeat of a session. It renews the host's ownership of all
+// SessionRenew is the heartbeat of a session. It renews the host's ownership of all
 // its pools.
-type HostRenew struct {
+type SessionRenew struct {
 	HostRef
 	// Leaving hosts are shutting down and claim no more pools.
 	Leaving bool `cbor:"3,keyasint,omitempty"`
 }
 
-// HostGone closes the session of an incarnation that has terminated.
-type HostGone struct{ HostRef }
+// SessionClose closes the session of an incarnation that has terminated.
+type SessionClose struct{ HostRef }
 
 // PoolClaim takes ownership of a pool. It takes effect if PrevEpoch is still the
 // pool's epoch; the new epoch is the offset of this record.
@@ -125,16 +125,16 @@
 
 // Decision is one decision of a plan. Exactly one field is set.
 type Decision struct {
-	Endpoint *EndpointSeen `cbor:"1,keyasint,omitempty"`
-	Place    *Place        `cbor:"3,keyasint,omitempty"`
-	Ready    *Ready        `cbor:"4,keyasint,omitempty"`
-	Retire   *Retire       `cbor:"5,keyasint,omitempty"`
-	Free     *Free         `cbor:"6,keyasint,omitempty"`
-	Lost     *EndpointLost `cbor:"7,keyasint,omitempty"`
+	Endpoint *EndpointRegistered `cbor:"1,keyasint,omitempty"`
+	Place    *Place              `cbor:"3,keyasint,omitempty"`
+	Ready    *Ready              `cbor:"4,keyasint,omitempty"`
+	Retire   *Retire             `cbor:"5,keyasint,omitempty"`
+	Free     *Free               `cbor:"6,keyasint,omitempty"`
+	Lost     *EndpointRemoved    `cbor:"7,keyasint,omitempty"`
 }
 
-// EndpointSeen registers an endpoint or its restart under a new incarnation.
-type EndpointSeen struct {
+// EndpointRegistered registers an endpoint or its restart under a new incarnation.
+type EndpointRegistered struct {
 	Endpoint      string      `cbor:"1,keyasint"`
 	Incarnation   Incarnation `cbor:"2,keyasint"`
 	Addr          string      `cbor:"3,keyasint"`
@@ -143,8 +143,8 @@
 	ChecksFencing bool        `cbor:"6,keyasint"`
 }
 
-// EndpointLost removes an endpoint that is no longer in the platform's list.
-type EndpointLost struct {
+// EndpointRemoved removes an endpoint that is no longer in the platform's list.
+type EndpointRemoved struct {
 	Endpoint    string      `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
 }
@@ -221,23 +221,23 @@
 	Attempt uint32 `cbor:"3,keyasint"`
 }
 
-// Horizon rejects idempotency keys and deferred requests created before a time and
+// KeyHorizon rejects idempotency keys and deferred requests created before a time and
 // deletes those held.
-type Horizon struct {
+type KeyHorizon struct {
 	Before time.Time `cbor:"1,keyasint"`
 }
 
-// Deferred accepts a request whose response is fetched later. ID is a version 7 UUID.
-type Deferred struct {
+// DeferredRequest accepts a request whose response is fetched later. ID is a version 7 UUID.
+type DeferredRequest struct {
 	ID       string `cbor:"1,keyasint"`
 	Customer string `cbor:"2,keyasint"`
 	Model    string `cbor:"3,keyasint"`
 	Body     []byte `cbor:"4,keyasint"`
 }
 
-// DeferFinish stores the complete response to a deferred request. Only the first
+// DeferredResponse stores the complete response to a deferred request. Only the first
 // one takes effect.
-type DeferFinish struct {
+type DeferredResponse struct {
 	ID     string `cbor:"1,keyasint"`
 	Status int    `cbor:"2,keyasint"`
 	Body   []byte `cbor:"3,keyasint"`
--- a/pkg/record/record_test.go
+++ b/pkg/record/record_test.go
@@ -11,7 +11,7 @@
 // error, and that a decoded record can be encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, r := range []record.Record{
-		{Renew: &record.HostRenew{HostRef: record.HostRef{Host: "h"}}},
+		{Renew: &record.SessionRenew{HostRef: record.HostRef{Host: "h"}}},
 		{Plan: &record.Plan{Pool: "p", Decisions: []record.Decision{{Place: &record.Place{Replica: "r"}}}}},
 		{Dispatch: &record.Dispatch{Claims: []record.KeyClaim{{Key: record.Key{Customer: "c", Value: "v"}}}}},
 		{Snapshot: &record.Snapshot{AsOf: 3, Count: 1, Data: []byte("x")}},
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -20,13 +20,13 @@
 	// Host is the name of the entry host. It must be unique among running hosts.
 	Host string `yaml:"host"`
 	// Zone is the availability zone in which the host runs.
-	Zone      string    `yaml:"availability_zone"`
-	Callers   Listener  `yaml:"callers"`
-	Operators Operators `yaml:"operators"`
-	Peers     Peers     `yaml:"peers"`
-	Platform  Platform  `yaml:"platform"`
-	Timing    Timing    `yaml:"timing"`
-	Store     Store     `yaml:"weight_store"`
+	Zone      string            `yaml:"availability_zone"`
+	Callers   Listener          `yaml:"callers"`
+	Operators Operators         `yaml:"operators"`
+	Peers     Peers             `yaml:"peers"`
+	Platform  Platform          `yaml:"platform"`
+	Timing    Timing            `yaml:"timing"`
+	Store     WeightStoreLimits `yaml:"weight_store"`
 	// OTLP is the base URL of a trace collector. If empty, no traces are exported.
 	OTLP string `yaml:"otlp"`
 }
@@ -64,9 +64,9 @@
 	WeightStore string `yaml:"weight_store"`
 }
 
-// Store limits the loads of each pool from the weight store. Lower limits that
+// WeightStoreLimits limits the loads of each pool from the weight store. Lower limits that
 // the store reports take precedence.
-type Store struct {
+type WeightStoreLimits struct {
 	Concurrent int     `yaml:"concurrent"`
 	PerSecond  float64 `yaml:"per_second"`
 }
@@ -112,7 +112,7 @@
 			DrainTimeout:  10 * time.Minute,
 			SnapshotEvery: 5000,
 		},
-		Store: Store{Concurrent: 4, PerSecond: 8},
+		Store: WeightStoreLimits{Concurrent: 4, PerSecond: 8},
 	}
 }
 
--- a/pkg/state/bench_test.go
+++ b/pkg/state/bench_test.go
@@ -32,8 +32,8 @@
 		b.Fatal(err)
 	}
 	out, _, err := st.Apply(st.Applied()+1, data)
-	if err != nil || out.Void != nil {
-		b.Fatal(err, out.Void)
+	if err != nil || out.Rejected != nil {
+		b.Fatal(err, out.Rejected)
 	}
 }
 
@@ -98,8 +98,8 @@
 func BenchmarkApply(b *testing.B) {
 	st := state.New()
 	ref := record.HostRef{Host: "h", Incarnation: "i"}
-	mustApply(b, st, record.Record{Join: &record.HostJoin{HostRef: ref}})
-	renew, _ := record.Encode(record.Record{ID: record.NewID(), Renew: &record.HostRenew{HostRef: ref}})
+	mustApply(b, st, record.Record{Join: &record.SessionOpen{HostRef: ref}})
+	renew, _ := record.Encode(record.Record{ID: record.NewID(), Renew: &record.SessionRenew{HostRef: ref}})
 	document := contractDocument(5, 45)
 	b.Run("renew", func(b *testing.B) {
 		for range b.N {
--- a/pkg/state/contracts.go
+++ b/pkg/state/contracts.go
@@ -75,7 +75,7 @@
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	for _, e := range c.entries {
-		if e.Contract.Holds(digest) {
+		if e.Contract.HasCredential(digest) {
 			return e, true
 		}
 	}
@@ -110,7 +110,7 @@
 // PoolModel is a loadable model of a pool and the customer it belongs to.
 type PoolModel struct {
 	Customer string
-	Weights  contract.Weights
+	Weights  contract.CostWeights
 	contract.Model
 }
 
--- a/pkg/state/deferred.go
+++ b/pkg/state/deferred.go
@@ -13,9 +13,9 @@
 
 // DeferredRequest is an accepted request whose response is fetched later.
 type DeferredRequest struct {
-	record.Deferred
+	record.DeferredRequest
 	// Answer is the response, nil until the request has completed.
-	Answer *record.DeferFinish
+	Answer *record.DeferredResponse
 }
 
 // DeferredRequests holds the deferred requests created since the horizon.
@@ -30,7 +30,7 @@
 
 // accept adds a request. It rejects a duplicate by its ID, or by the horizon
 // if the first copy has already been deleted.
-func (d *DeferredRequests) accept(r record.Deferred, horizon time.Time) error {
+func (d *DeferredRequests) accept(r record.DeferredRequest, horizon time.Time) error {
 	created, ok := record.Key{Value: r.ID}.Time()
 	if !ok || created.Before(horizon) {
 		return errors.Wrapf(ErrStale, "deferred request %s", r.ID)
@@ -40,11 +40,11 @@
 	if _, exists := d.requests[r.ID]; exists {
 		return errors.Wrapf(ErrStale, "deferred request %s", r.ID)
 	}
-	d.requests[r.ID] = DeferredRequest{Deferred: r}
+	d.requests[r.ID] = DeferredRequest{DeferredRequest: r}
 	return nil
 }
 
-func (d *DeferredRequests) finish(f record.DeferFinish) error {
+func (d *DeferredRequests) finish(f record.DeferredResponse) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r, ok := d.requests[f.ID]
--- a/pkg/state/hosts.go
+++ b/pkg/state/hosts.go
@@ -31,13 +31,13 @@
 	return &Hosts{sessions: map[record.HostRef]Session{}}
 }
 
-func (h *Hosts) join(off record.Offset, j record.HostJoin) {
+func (h *Hosts) join(off record.Offset, j record.SessionOpen) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sessions[j.HostRef] = Session{HostRef: j.HostRef, PeerAddr: j.PeerAddr, Zone: j.Zone, Renewed: off}
 }
 
-func (h *Hosts) renew(off record.Offset, r record.HostRenew) error {
+func (h *Hosts) renew(off record.Offset, r record.SessionRenew) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, ok := h.sessions[r.HostRef]
--- a/pkg/state/plan.go
+++ b/pkg/state/plan.go
@@ -51,15 +51,15 @@
 // has normally lost its loaded models, but the observation may also be an old
 // one. All replicas are therefore retired and keep their memory reserved until
 // the observed incarnation confirms the unload.
-func (p *lockedPool) registerEndpoint(off record.Offset, observed record.EndpointSeen) {
+func (p *lockedPool) registerEndpoint(off record.Offset, observed record.EndpointRegistered) {
 	known, ok := p.Endpoints[observed.Endpoint]
 	if ok && known.Incarnation != observed.Incarnation {
 		p.retireReplicasOn(off, observed.Endpoint)
 	}
-	p.Endpoints[observed.Endpoint] = Endpoint{EndpointSeen: observed}
+	p.Endpoints[observed.Endpoint] = Endpoint{EndpointRegistered: observed}
 }
 
-func (p *lockedPool) markEndpointLost(off record.Offset, lost record.EndpointLost) error {
+func (p *lockedPool) markEndpointLost(off record.Offset, lost record.EndpointRemoved) error {
 	e, ok := p.Endpoints[lost.Endpoint]
 	if !ok || e.Incarnation != lost.Incarnation {
 		return errors.Wrapf(ErrStale, "endpoint %q is unknown or has another incarnation", lost.Endpoint)
--- a/pkg/state/pools.go
+++ b/pkg/state/pools.go
@@ -44,13 +44,13 @@
 
 // Endpoint is a model endpoint of a pool.
 type Endpoint struct {
-	record.EndpointSeen
+	record.EndpointRegistered
 	// Lost endpoints have been removed from the platform's list.
 	Lost bool
 }
 
-// Former is a previous owner that may still have commands in flight.
-type Former struct {
+// FormerOwner is a previous owner that may still have commands in flight.
+type FormerOwner struct {
 	Epoch record.Offset
 	Owner record.HostRef
 }
@@ -63,7 +63,7 @@
 	Seq   uint64
 	// Changed is the offset of the last record that changed the pool.
 	Changed   record.Offset
-	Former    []Former
+	Former    []FormerOwner
 	Endpoints map[string]Endpoint
 	Replicas  map[record.ReplicaID]Replica
 }
@@ -102,7 +102,7 @@
 	if e.ChecksFencing && !e.Lost {
 		return true
 	}
-	return !slices.ContainsFunc(p.Former, func(f Former) bool { return f.Epoch >= r.Epoch })
+	return !slices.ContainsFunc(p.Former, func(f FormerOwner) bool { return f.Epoch >= r.Epoch })
 }
 
 func (p *Pool) clone() Pool {
@@ -234,7 +234,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.Epoch != 0 {
-		p.Former = append(p.Former, Former{Epoch: p.Epoch, Owner: p.Owner})
+		p.Former = append(p.Former, FormerOwner{Epoch: p.Epoch, Owner: p.Owner})
 	}
 	p.startEpoch(off, c.Owner)
 	return nil
@@ -279,7 +279,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.Former = slices.DeleteFunc(p.Former, func(f Former) bool {
+	p.Former = slices.DeleteFunc(p.Former, func(f FormerOwner) bool {
 		return f.Owner == q.Owner && f.Epoch < q.Epoch
 	})
 }
@@ -288,7 +288,7 @@
 	for _, name := range ps.Names() {
 		p := ps.find(name)
 		p.mu.Lock()
-		p.Former = slices.DeleteFunc(p.Former, func(f Former) bool { return f.Owner == ref })
+		p.Former = slices.DeleteFunc(p.Former, func(f FormerOwner) bool { return f.Owner == ref })
 		p.mu.Unlock()
 	}
 }
--- a/pkg/state/state.go
+++ b/pkg/state/state.go
@@ -38,8 +38,8 @@
 	ID     record.ID
 	// Record is the decoded record, empty if the bytes were malformed.
 	Record record.Record
-	// Void is the reason why the record was rejected, nil if it was accepted.
-	Void error
+	// Rejected is the reason why the record was rejected, nil if it was accepted.
+	Rejected error
 	// Decisions holds the result of each decision of an accepted plan: nil if the
 	// decision was accepted, else the reason for its rejection.
 	Decisions []error
@@ -91,38 +91,38 @@
 func (s *State) applyRecord(off record.Offset, data []byte) Outcome {
 	r, err := record.Decode(data)
 	if err != nil {
-		return Outcome{Offset: off, Void: err}
+		return Outcome{Offset: off, Rejected: err}
 	}
 	out := Outcome{Offset: off, ID: r.ID, Record: r}
 	switch {
 	case r.Contract != nil:
-		out.Void = s.Contracts.publish(off, *r.Contract)
+		out.Rejected = s.Contracts.publish(off, *r.Contract)
 	case r.Join != nil:
 		s.Hosts.join(off, *r.Join)
 	case r.Renew != nil:
-		out.Void = s.Hosts.renew(off, *r.Renew)
+		out.Rejected = s.Hosts.renew(off, *r.Renew)
 	case r.Gone != nil:
 		s.Hosts.remove(r.Gone.HostRef)
 		s.Pools.removeFormerOwner(r.Gone.HostRef)
 	case r.Claim != nil:
-		out.Void = s.claim(off, *r.Claim)
+		out.Rejected = s.claim(off, *r.Claim)
 	case r.Handover != nil:
-		out.Void = s.handover(off, *r.Handover)
+		out.Rejected = s.handover(off, *r.Handover)
 	case r.Quiesced != nil:
 		s.Pools.removeQuiescedOwner(*r.Quiesced)
 	case r.Plan != nil:
-		out.Decisions, out.Void = s.Pools.applyPlan(off, *r.Plan, s.Contracts)
+		out.Decisions, out.Rejected = s.Pools.applyPlan(off, *r.Plan, s.Contracts)
 	case r.Dispatch != nil:
 		s.Keys.applyDispatch(*r.Dispatch)
 	case r.Horizon != nil:
-		out.Void = s.Keys.advanceHorizon(r.Horizon.Before)
+		out.Rejected = s.Keys.advanceHorizon(r.Horizon.Before)
 		s.Deferred.deleteBefore(s.Keys.Horizon())
 	case r.Snapshot != nil:
 		s.Snapshots.add(off, *r.Snapshot)
 	case r.Defer != nil:
-		out.Void = s.Deferred.accept(*r.Defer, s.Keys.Horizon())
+		out.Rejected = s.Deferred.accept(*r.Defer, s.Keys.Horizon())
 	case r.Finish != nil:
-		out.Void = s.Deferred.finish(*r.Finish)
+		out.Rejected = s.Deferred.finish(*r.Finish)
 	case r.Crashed != nil:
 		s.Crashes.add(off, *r.Crashed)
 	}
--- a/pkg/state/state_test.go
+++ b/pkg/state/state_test.go
@@ -43,15 +43,15 @@
 func TestContractPublishIsCompareAndSet(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
-	is.NoErr(f.apply(contractRecord(0, "c")).Void)
-	is.True(errors.Is(f.apply(contractRecord(0, "c")).Void, state.ErrStale))
-	is.NoErr(f.apply(contractRecord(1, "c")).Void)
-	is.True(errors.Is(f.apply(contractRecord(0, "c")).Void, state.ErrStale))
+	is.NoErr(f.apply(contractRecord(0, "c")).Rejected)
+	is.True(errors.Is(f.apply(contractRecord(0, "c")).Rejected, state.ErrStale))
+	is.NoErr(f.apply(contractRecord(1, "c")).Rejected)
+	is.True(errors.Is(f.apply(contractRecord(0, "c")).Rejected, state.ErrStale))
 	e, _ := f.st.Contracts.Get("c")
 	is.Equal(e.Version, uint64(2))
 	mismatch := contractRecord(0, "d")
 	mismatch.Contract.Customer = "other"
-	is.True(errors.Is(f.apply(mismatch).Void, state.ErrInvalid))
+	is.True(errors.Is(f.apply(mismatch).Rejected, state.ErrInvalid))
 }
 
 // Guards against two hosts claiming the same epoch, and against a delayed copy
@@ -63,18 +63,18 @@
 	claim := func(prev record.Offset, owner record.HostRef) record.Record {
 		return record.Record{Claim: &record.PoolClaim{Pool: "p", PrevEpoch: prev, Owner: owner}}
 	}
-	is.True(errors.Is(f.apply(claim(0, a)).Void, state.ErrUnknown))
-	f.apply(record.Record{Join: &record.HostJoin{HostRef: a}})
-	f.apply(record.Record{Join: &record.HostJoin{HostRef: b}})
-	is.NoErr(f.apply(claim(0, a)).Void)
+	is.True(errors.Is(f.apply(claim(0, a)).Rejected, state.ErrUnknown))
+	f.apply(record.Record{Join: &record.SessionOpen{HostRef: a}})
+	f.apply(record.Record{Join: &record.SessionOpen{HostRef: b}})
+	is.NoErr(f.apply(claim(0, a)).Rejected)
 	epoch := f.st.Applied()
-	is.True(errors.Is(f.apply(claim(0, b)).Void, state.ErrStale))
-	is.NoErr(f.apply(claim(epoch, b)).Void)
-	is.True(errors.Is(f.apply(claim(0, a)).Void, state.ErrStale))
+	is.True(errors.Is(f.apply(claim(0, b)).Rejected, state.ErrStale))
+	is.NoErr(f.apply(claim(epoch, b)).Rejected)
+	is.True(errors.Is(f.apply(claim(0, a)).Rejected, state.ErrStale))
 	owner, _ := f.st.Pools.Owner("p")
 	is.Equal(owner, b)
-	is.Equal(f.st.Pools.Get("p").Former, []state.Former{{Epoch: epoch, Owner: a}})
-	f.apply(record.Record{Gone: &record.HostGone{HostRef: a}})
+	is.Equal(f.st.Pools.Get("p").Former, []state.FormerOwner{{Epoch: epoch, Owner: a}})
+	f.apply(record.Record{Gone: &record.SessionClose{HostRef: a}})
 	is.Equal(len(f.st.Pools.Get("p").Former), 0)
 }
 
@@ -113,12 +113,12 @@
 	key := newKey()
 	f.apply(keyClaimRecord("a", key, 0))
 	created, _ := key.Time()
-	f.apply(record.Record{Horizon: &record.Horizon{Before: created.Add(time.Second)}})
+	f.apply(record.Record{Horizon: &record.KeyHorizon{Before: created.Add(time.Second)}})
 	is.Equal(f.st.Keys.Len(), 0)
 	is.Equal(f.st.Keys.Get(key).State, state.KeyExpired)
 	f.apply(keyClaimRecord("b", key, 0))
 	is.Equal(f.st.Keys.Get(key).State, state.KeyExpired)
-	is.True(errors.Is(f.apply(record.Record{Horizon: &record.Horizon{Before: created}}).Void, state.ErrStale))
+	is.True(errors.Is(f.apply(record.Record{Horizon: &record.KeyHorizon{Before: created}}).Rejected, state.ErrStale))
 }
 
 // Checks that a state restored from a snapshot at any offset stays equal to one
@@ -153,7 +153,7 @@
 		e, _ := st.Contracts.Get("c")
 		return contractRecord(e.Version, "c")
 	case 1:
-		return record.Record{Join: &record.HostJoin{HostRef: host}}
+		return record.Record{Join: &record.SessionOpen{HostRef: host}}
 	case 2:
 		return record.Record{Claim: &record.PoolClaim{Pool: "p", PrevEpoch: epoch, Owner: host}}
 	case 3:
@@ -165,10 +165,10 @@
 	case 8:
 		return record.Record{Crashed: &record.EndpointCrash{Endpoint: key.Value, Requests: []record.CrashedRequest{{Content: 1}}}}
 	case 6:
-		return record.Record{Defer: &record.Deferred{ID: key.Value, Customer: "c"}}
+		return record.Record{Defer: &record.DeferredRequest{ID: key.Value, Customer: "c"}}
 	default:
 		return record.Record{Plan: &record.Plan{Pool: "p", Epoch: epoch, Seq: p.Seq, Decisions: []record.Decision{
-			{Endpoint: &record.EndpointSeen{Endpoint: "e", Incarnation: "i", MemoryMB: 100}},
+			{Endpoint: &record.EndpointRegistered{Endpoint: "e", Incarnation: "i", MemoryMB: 100}},
 			{Place: &record.Place{Replica: record.ReplicaID(fmt.Sprint(st.Applied())), Customer: "c", Model: "m", Endpoint: "e"}},
 		}}}
 	}
