--- a/internal/dev/platform.go
+++ b/internal/dev/platform.go
@@ -75,7 +75,7 @@
 	if err := pollUntil(ctx, g.Ready); err != nil {
 		return <-result
 	}
-	fmt.Fprintf(o.Out, "callers: http://%s\n%s", g.Addr(), site.Hint)
+	fmt.Fprintf(o.Out, "callers: http://%s\n%s", g.Addr(), site.DevRequestHelp)
 	if o.Ready != nil {
 		o.Ready(g.Addr())
 	}
@@ -93,7 +93,7 @@
 		Version: 1,
 		Routes: []site.Route{{
 			Name: "summary", Host: "dev.example", PathPrefix: "/summary/", Kind: "streaming", Service: "llm",
-			TimeoutMS: 10000, ObjectiveMS: 500, GapMS: 400, Attempts: 2, Resumable: true,
+			TimeoutMS: 10000, TargetLatencyMS: 500, TargetGapMS: 400, Attempts: 2, Resumable: true,
 		}},
 		Services: []site.Service{{Name: "llm", ConnectionLimit: 100, Engine: &site.Engine{
 			Slots: devSlots, WeightsMB: devMemoryMB, AdapterSlots: 4, LoadsPerS: 4, Models: models,
@@ -108,7 +108,7 @@
 	}
 	e, err := site.StartEndpoint(store, site.EndpointConfig{
 		ID: "e1", Service: "llm", Zone: "zone-1", Slots: devSlots, WeightsMB: devMemoryMB, AdapterSlots: 4, Models: models,
-		Holds: []string{"warm", "idle"}, OnDisk: []string{"rare"}, Events: devEventCount, Pace: devEventInterval,
+		LoadedModels: []string{"warm", "idle"}, OnDisk: []string{"rare"}, Events: devEventCount, EventInterval: devEventInterval,
 	})
 	return []*site.Endpoint{e}, err
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -28,13 +28,13 @@
 
 // EngineFaults configures the faults of an Engine.
 type EngineFaults struct {
-	// CutAfter truncates each stream after that many tokens. Zero disables the fault.
-	CutAfter int `json:"cut_after"`
-	// Cross sends tokens with the ID of another request.
-	Cross bool `json:"cross"`
-	// LoseAnswers is the number of service calls that run without a response. The connection is
+	// TruncateAfter truncates each stream after that many tokens. Zero disables the fault.
+	TruncateAfter int `json:"cut_after"`
+	// MislabelTokens sends tokens with the ID of another request.
+	MislabelTokens bool `json:"cross"`
+	// LoseResponses is the number of service calls that run without a response. The connection is
 	// closed instead.
-	LoseAnswers int `json:"lose_answers"`
+	LoseResponses int `json:"lose_answers"`
 	// LoadDelay is added to each load.
 	LoadDelay time.Duration `json:"load_delay"`
 	// FailLoads makes each load fail.
@@ -85,8 +85,8 @@
 	e.faults = f
 }
 
-// Observed records the activity of an engine for tests.
-type Observed struct {
+// Activity records the activity of an engine for tests.
+type Activity struct {
 	// Ran lists the IDs of all requests that ran, in order.
 	Ran []string `json:"ran"`
 	// PeakMB is the peak memory usage of all replicas.
@@ -96,11 +96,11 @@
 	Loads int            `json:"loads"`
 }
 
-// Observed returns the activity of the engine so far.
-func (e *Engine) Observed() Observed {
+// Activity returns the activity of the engine so far.
+func (e *Engine) Activity() Activity {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return Observed{slices.Clone(e.ran), e.peakMB, maps.Clone(e.peak), e.loads}
+	return Activity{slices.Clone(e.ran), e.peakMB, maps.Clone(e.peak), e.loads}
 }
 
 // Handler returns a handler for the engine protocol and, under /control, for fault injection.
@@ -115,7 +115,7 @@
 		writeJSON(w, map[string]any{"events": []external.CacheEvent{}})
 	})
 	mux.HandleFunc("POST /control/engine", controlHandler(e.SetFaults))
-	mux.HandleFunc("GET /control/observed", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Observed()) })
+	mux.HandleFunc("GET /control/observed", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Activity()) })
 	return mux
 }
 
@@ -295,7 +295,7 @@
 func (e *Engine) stream(ctx context.Context, w http.ResponseWriter, in external.GenerateRequest) {
 	faults := e.currentFaults()
 	id := in.RequestID
-	if faults.Cross {
+	if faults.MislabelTokens {
 		id = "another-request"
 	}
 	words := answerTokens(in)
@@ -308,7 +308,7 @@
 			return
 		}
 		delay = e.cfg.PerToken
-		if faults.CutAfter > 0 && i >= in.ResumeFrom+faults.CutAfter {
+		if faults.TruncateAfter > 0 && i >= in.ResumeFrom+faults.TruncateAfter {
 			panic(http.ErrAbortHandler)
 		}
 		_ = out.Encode(external.Token{RequestID: id, Index: i, Text: words[i]})
@@ -359,9 +359,9 @@
 	e.mu.Lock()
 	e.ran = append(e.ran, in.RequestID)
 	n := len(e.ran)
-	lose := e.faults.LoseAnswers > 0
+	lose := e.faults.LoseResponses > 0
 	if lose {
-		e.faults.LoseAnswers--
+		e.faults.LoseResponses--
 	}
 	e.mu.Unlock()
 	if lose {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -22,9 +22,9 @@
 type LogFaults struct {
 	// Down rejects every call.
 	Down bool `json:"down"`
-	// LoseAnswers is the number of appends that are carried out without a response. The connection
+	// LoseResponses is the number of appends that are carried out without a response. The connection
 	// is closed instead.
-	LoseAnswers int `json:"lose_answers"`
+	LoseResponses int `json:"lose_answers"`
 	// Delay is added to each append.
 	Delay time.Duration `json:"delay"`
 }
@@ -141,10 +141,10 @@
 func (l *Log) loseAnswer() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.faults.LoseAnswers == 0 {
+	if l.faults.LoseResponses == 0 {
 		return false
 	}
-	l.faults.LoseAnswers--
+	l.faults.LoseResponses--
 	return true
 }
 
--- a/internal/standin/site/config.go
+++ b/internal/standin/site/config.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// Hint describes the requests that the development configuration accepts.
-const Hint = "Host: dev.example, path /summary/, X-Key: " + DevKey + ", X-Request-Attempt-Id: any, X-Model-Name: warm, rare or idle\n"
+// DevRequestHelp describes the requests that the development configuration accepts.
+const DevRequestHelp = "Host: dev.example, path /summary/, X-Key: " + DevKey + ", X-Request-Attempt-Id: any, X-Model-Name: warm, rare or idle\n"
 
 // DevKey is the API key of the client account in the development configuration.
 const DevKey = "dev-key"
@@ -14,15 +14,15 @@
 	Host       string `json:"host"`
 	PathPrefix string `json:"path-prefix"`
 	// Kind is "safe", "unsafe" or "streaming".
-	Kind        string `json:"kind"`
-	TimeoutMS   int    `json:"timeout-ms"`
-	ObjectiveMS int    `json:"target-latency-ms"`
-	GapMS       int    `json:"target-gap-ms"`
-	Priority    int    `json:"priority"`
-	Service     string `json:"service"`
-	Attempts    int    `json:"attempts"`
-	Resumable   bool   `json:"resumable"`
-	Public      bool   `json:"public"`
+	Kind            string `json:"kind"`
+	TimeoutMS       int    `json:"timeout-ms"`
+	TargetLatencyMS int    `json:"target-latency-ms"`
+	TargetGapMS     int    `json:"target-gap-ms"`
+	Priority        int    `json:"priority"`
+	Service         string `json:"service"`
+	Attempts        int    `json:"attempts"`
+	Resumable       bool   `json:"resumable"`
+	Public          bool   `json:"public"`
 }
 
 // Account is a client account in the operator's configuration.
@@ -30,10 +30,10 @@
 	Name string   `json:"name"`
 	Keys []string `json:"api-keys"`
 	// Unit is "requests" or "tokens".
-	Unit     string  `json:"unit"`
-	Unstated float64 `json:"plain-tokens"`
-	Rate     float64 `json:"rate-per-s"`
-	Burst    float64 `json:"burst"`
+	Unit        string  `json:"unit"`
+	PlainTokens float64 `json:"plain-tokens"`
+	Rate        float64 `json:"rate-per-s"`
+	Burst       float64 `json:"burst"`
 	// Priority overrides the priority of routes. It is optional.
 	Priority *int `json:"priority,omitempty"`
 }
--- a/internal/standin/site/endpoint.go
+++ b/internal/standin/site/endpoint.go
@@ -24,16 +24,16 @@
 type Behavior struct {
 	// BreakAfter resets the connection after that many events. Zero disables the fault.
 	BreakAfter int
-	// Lose runs the request and resets the connection without a response.
-	Lose bool
+	// LoseResponse runs the request and resets the connection without a response.
+	LoseResponse bool
 	// Status replaces the status 200 after the request has run. Zero means 200.
 	Status int
 	// Delay is added before the response.
 	Delay time.Duration
 	// Reject rejects the request without running it.
 	Reject bool
-	// Pause is the Retry-After value of a rejection, in seconds. It is optional.
-	Pause string
+	// RetryAfter is the Retry-After value of a rejection, in seconds. It is optional.
+	RetryAfter string
 }
 
 // EndpointConfig configures an Endpoint.
@@ -49,12 +49,12 @@
 	WeightsMB    float64
 	AdapterSlots int
 	Models       []Model
-	// Holds lists the models that are loaded initially, and OnDisk those with a copy on disk.
-	Holds  []string
-	OnDisk []string
-	// Events is the number of events of a stream and Pace the interval between them.
-	Events int
-	Pace   time.Duration
+	// LoadedModels lists the models that are loaded initially, and OnDisk those with a copy on disk.
+	LoadedModels []string
+	OnDisk       []string
+	// Events is the number of events of a stream and EventInterval the interval between them.
+	Events        int
+	EventInterval time.Duration
 	// CrashOn is the body of requests that crash the endpoint.
 	CrashOn string
 	// Behave selects the behavior for a request. n is the number of previous runs. If Behave is
@@ -65,8 +65,8 @@
 // Run records a request that ran.
 type Run struct {
 	ID, Model, Path, Body string
-	// From is the Last-Event-Id header of the request.
-	From string
+	// LastEventID is the Last-Event-Id header of the request.
+	LastEventID string
 	// Header holds all headers of the request.
 	Header http.Header
 }
@@ -103,12 +103,12 @@
 
 // StartEndpoint starts an endpoint and registers it in the store.
 func StartEndpoint(s *Store, c EndpointConfig) (*Endpoint, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	netListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	e := &Endpoint{Addr: l.Addr().String(), config: c, store: s, loaded: map[string]map[string]bool{}, diskCopies: map[string]bool{}}
-	for _, m := range c.Holds {
+	e := &Endpoint{Addr: netListener.Addr().String(), config: c, store: s, loaded: map[string]map[string]bool{}, diskCopies: map[string]bool{}}
+	for _, m := range c.LoadedModels {
 		e.loaded[m] = map[string]bool{}
 		e.diskCopies[m] = true
 	}
@@ -120,7 +120,7 @@
 	mux.HandleFunc("GET /report", e.report)
 	mux.HandleFunc("/", e.serve)
 	e.server = &http.Server{Handler: e.recordArrival(mux), ReadHeaderTimeout: time.Second}
-	go func() { _ = e.server.Serve(l) }()
+	go func() { _ = e.server.Serve(netListener) }()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.publishEntry()
@@ -138,17 +138,17 @@
 	e.publishEntry()
 }
 
-// StateRate sets the rate limit, in requests per second, that responses contain. An empty string
+// SetRateLimitHeader sets the rate limit, in requests per second, that responses contain. An empty string
 // removes it.
-func (e *Endpoint) StateRate(rate string) {
+func (e *Endpoint) SetRateLimitHeader(rate string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.rate = rate
 }
 
-// StateLeaving makes all responses announce that the endpoint is draining, without updating its
+// SetLeavingHeader makes all responses announce that the endpoint is draining, without updating its
 // entry in the store.
-func (e *Endpoint) StateLeaving() {
+func (e *Endpoint) SetLeavingHeader() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leavingHeader = true
@@ -185,8 +185,8 @@
 	return slices.Clone(e.runs)
 }
 
-// Faults returns the orders that exceeded the capacity of the endpoint.
-func (e *Endpoint) Faults() []string {
+// Violations returns the orders that exceeded the capacity of the endpoint.
+func (e *Endpoint) Violations() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.violations)
--- a/internal/standin/site/requests.go
+++ b/internal/standin/site/requests.go
@@ -23,8 +23,8 @@
 		if status != http.StatusMisdirectedRequest {
 			w.Header().Set("X-Request-Not-Run", "1")
 		}
-		if b.Pause != "" {
-			w.Header().Set("Retry-After", b.Pause)
+		if b.RetryAfter != "" {
+			w.Header().Set("Retry-After", b.RetryAfter)
 		}
 		w.WriteHeader(status)
 		return
@@ -35,7 +35,7 @@
 	case <-r.Context().Done():
 		return
 	}
-	if b.Lose {
+	if b.LoseResponse {
 		panic(http.ErrAbortHandler)
 	}
 	if e.config.CrashOn != "" && string(body) == e.config.CrashOn {
@@ -74,7 +74,7 @@
 		return b, http.StatusServiceUnavailable
 	}
 	e.running++
-	e.runs = append(e.runs, Run{ID: id, Model: model, Path: r.RequestURI, Body: body, From: r.Header.Get("Last-Event-Id"), Header: r.Header.Clone()})
+	e.runs = append(e.runs, Run{ID: id, Model: model, Path: r.RequestURI, Body: body, LastEventID: r.Header.Get("Last-Event-Id"), Header: r.Header.Clone()})
 	return b, 0
 }
 
@@ -105,7 +105,7 @@
 		}
 		sent++
 		select {
-		case <-time.After(e.config.Pace):
+		case <-time.After(e.config.EventInterval):
 		case <-r.Context().Done():
 			return
 		}
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -23,16 +23,16 @@
 
 // Faults of a listener.
 const (
-	// Works handles all calls.
-	Works Fault = iota
-	// Busy rejects all calls without executing them.
-	Busy
-	// Silent neither executes nor answers calls.
-	Silent
-	// Lossy executes writes without answering.
-	Lossy
-	// ReadOnly rejects writes without executing them.
-	ReadOnly
+	// NoFault handles all calls.
+	NoFault Fault = iota
+	// FaultReject rejects all calls without executing them.
+	FaultReject
+	// FaultNoResponse neither executes nor answers calls.
+	FaultNoResponse
+	// FaultLoseResponse executes writes without answering.
+	FaultLoseResponse
+	// FaultReadOnly rejects writes without executing them.
+	FaultReadOnly
 )
 
 // record is a record of a keyed topic.
@@ -60,90 +60,90 @@
 // NewStore returns an empty store.
 func NewStore() *Store { return &Store{topics: map[string]*topic{}} }
 
-// Door is a listener of the store with its own fault.
-type Door struct {
+// Listener is a listener of the store with its own fault.
+type Listener struct {
 	Addr   string
 	server *http.Server
 
 	mu    sync.Mutex
 	fault Fault
-	// silenceCount counts the changes to Silent.
-	silenceCount int
+	// noResponseCount counts the changes to FaultNoResponse.
+	noResponseCount int
 	// calls counts calls by topic.
 	calls map[string]int
 }
 
 // Listen opens a listener on a free loopback port.
-func (s *Store) Listen() (*Door, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func (s *Store) Listen() (*Listener, error) {
+	netListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{Addr: l.Addr().String(), calls: map[string]int{}}
-	d.server = &http.Server{Handler: d.injectFaults(s.handler()), ReadHeaderTimeout: time.Second}
-	go func() { _ = d.server.Serve(l) }()
-	return d, nil
+	l := &Listener{Addr: netListener.Addr().String(), calls: map[string]int{}}
+	l.server = &http.Server{Handler: l.injectFaults(s.handler()), ReadHeaderTimeout: time.Second}
+	go func() { _ = l.server.Serve(netListener) }()
+	return l, nil
 }
 
-// Set changes the fault for subsequent calls.
-func (d *Door) Set(f Fault) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.fault = f
-	if f == Silent {
-		d.silenceCount++
+// SetFault changes the fault for subsequent calls.
+func (l *Listener) SetFault(f Fault) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.fault = f
+	if f == FaultNoResponse {
+		l.noResponseCount++
 	}
 }
 
-// faultState returns the current fault and the number of changes to Silent.
-func (d *Door) faultState() (Fault, int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.fault, d.silenceCount
+// faultState returns the current fault and the number of changes to FaultNoResponse.
+func (l *Listener) faultState() (Fault, int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.fault, l.noResponseCount
 }
 
 // Calls returns the number of calls by topic.
-func (d *Door) Calls() map[string]int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return maps.Clone(d.calls)
+func (l *Listener) Calls() map[string]int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return maps.Clone(l.calls)
 }
 
-func (d *Door) count(topic string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.calls[topic]++
+func (l *Listener) count(topic string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.calls[topic]++
 }
 
 // Close closes the listener and its connections.
-func (d *Door) Close() { _ = d.server.Close() }
+func (l *Listener) Close() { _ = l.server.Close() }
 
 // injectFaults wraps a handler to apply the current fault.
-func (d *Door) injectFaults(next http.Handler) http.Handler {
+func (l *Listener) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.count(r.URL.Query().Get("topic"))
-		fault, before := d.faultState()
-		if fault == ReadOnly && r.Method == http.MethodPost {
-			fault = Busy
+		l.count(r.URL.Query().Get("topic"))
+		fault, before := l.faultState()
+		if fault == FaultReadOnly && r.Method == http.MethodPost {
+			fault = FaultReject
 		}
 		switch fault {
-		case Busy:
+		case FaultReject:
 			http.Error(w, `{"error":"try later"}`, http.StatusTooManyRequests)
 			return
-		case Silent:
+		case FaultNoResponse:
 			<-r.Context().Done()
 			return
-		case Lossy:
+		case FaultLoseResponse:
 			if r.Method == http.MethodPost {
 				next.ServeHTTP(discardResponse{}, r)
 				<-r.Context().Done()
 				return
 			}
 		}
-		// Calls in progress when the listener changes to Silent are never answered.
+		// Calls in progress when the listener changes to FaultNoResponse are never answered.
 		answer := httptest.NewRecorder()
 		next.ServeHTTP(answer, r)
-		if _, after := d.faultState(); after != before {
+		if _, after := l.faultState(); after != before {
 			<-r.Context().Done()
 			return
 		}
@@ -204,8 +204,8 @@
 	return r.offset
 }
 
-// Size returns the number of keys in a topic.
-func (s *Store) Size(name string) int {
+// KeyCount returns the number of keys in a topic.
+func (s *Store) KeyCount(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.topic(name).newest)
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// SetSlow multiplies the duration of each fetch by factor.
-func (s *Store) SetSlow(factor float64) {
+// SetSlowdown multiplies the duration of each fetch by factor.
+func (s *Store) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowdown = factor
@@ -78,7 +78,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/limits", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.limits) })
 	mux.HandleFunc("POST /v1/fetch", s.serveFetch)
-	mux.HandleFunc("POST /control/store", controlHandler(func(in struct{ Slow float64 }) { s.SetSlow(in.Slow) }))
+	mux.HandleFunc("POST /control/store", controlHandler(func(in struct{ Slow float64 }) { s.SetSlowdown(in.Slow) }))
 	return mux
 }
 
--- a/pkg/external/httpadapter/adapter_test.go
+++ b/pkg/external/httpadapter/adapter_test.go
@@ -47,7 +47,7 @@
 	result, err := httpadapter.NewEngine().Order(context.Background(), loadOrder(old, server.URL))
 	is.True(err != nil)
 	is.Equal(result, pool.OrderRejected)
-	is.Equal(restarted.Observed().Loads, 0)
+	is.Equal(restarted.Activity().Loads, 0)
 
 	result, err = httpadapter.NewEngine().Order(context.Background(), loadOrder(restarted, server.URL))
 	is.NoErr(err)
@@ -70,7 +70,7 @@
 	result, err := httpadapter.NewEngine().Order(context.Background(), loadOrder(engine, server.URL))
 	is.True(err != nil)
 	is.Equal(result, pool.OrderRejected)
-	is.Equal(engine.Observed().Loads, 0)
+	is.Equal(engine.Activity().Loads, 0)
 }
 
 // Guards against a late order of a former pool owner: an engine that checks
@@ -89,7 +89,7 @@
 	is.Equal(result, pool.OrderOK)
 	result, _ = client.Order(context.Background(), loadOrder(engine, server.URL))
 	is.Equal(result, pool.OrderRejected)
-	is.Equal(engine.Observed().Loads, 0)
+	is.Equal(engine.Activity().Loads, 0)
 }
 
 func newLoadedEngine(t *testing.T) (*standin.Engine, string, *httpadapter.Engine) {
@@ -118,8 +118,8 @@
 // complete response.
 func TestBrokenStreamsReturnErrBroken(t *testing.T) {
 	for name, fault := range map[string]standin.EngineFaults{
-		"crossed": {Cross: true},
-		"cut":     {CutAfter: 2},
+		"crossed": {MislabelTokens: true},
+		"cut":     {TruncateAfter: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -152,11 +152,11 @@
 	_, err = client.Call(context.Background(), "http://"+closedPort(t), external.ServiceCall{RequestID: "c"})
 	is.True(errors.Is(err, external.ErrRejected))
 
-	engine.SetFaults(standin.EngineFaults{LoseAnswers: 1})
+	engine.SetFaults(standin.EngineFaults{LoseResponses: 1})
 	_, err = client.Call(context.Background(), url, external.ServiceCall{RequestID: "c", Service: "s"})
 	is.True(errors.Is(err, external.ErrUnavailable))
 	is.True(!errors.Is(err, external.ErrRejected))
-	is.Equal(len(engine.Observed().Ran), 1)
+	is.Equal(len(engine.Activity().Ran), 1)
 }
 
 func closedPort(t *testing.T) string {
@@ -180,7 +180,7 @@
 	is.NoErr(err)
 	is.Equal(int(off), 1)
 
-	log.SetFaults(standin.LogFaults{LoseAnswers: 1})
+	log.SetFaults(standin.LogFaults{LoseResponses: 1})
 	_, err = client.Append(context.Background(), []byte("two"))
 	is.True(errors.Is(err, external.ErrUnavailable))
 	is.Equal(int(log.Last()), 2)
--- a/pkg/gateway/account_test.go
+++ b/pkg/gateway/account_test.go
@@ -69,7 +69,7 @@
 	is := is.New(t)
 	d := newDeployment(t)
 	h := d.startHostWithAccounts()
-	h.storeListener.Set(site.Silent)
+	h.storeListener.SetFault(site.FaultNoResponse)
 	d.waitFor("the list is outdated", func() bool { return h.ListAge() > 1500*time.Millisecond })
 	is.Equal(d.requestWithKey("new", h, "/chat/", "warm", "").status, http.StatusServiceUnavailable)
 	is.Equal(d.requestWithKey("k1", h, "/chat/", "warm", "").status, http.StatusOK)
@@ -89,7 +89,7 @@
 		all = append(all, d.startHost(name))
 	}
 	d.waitForPeers(all...)
-	d.waitFor("a host is the controller", func() bool { return all[0].Controls() || all[1].Controls() || all[2].Controls() })
+	d.waitFor("a host is the controller", func() bool { return all[0].IsController() || all[1].IsController() || all[2].IsController() })
 	tick := time.NewTicker(time.Second / (3 * rate / hosts))
 	defer tick.Stop()
 	statuses := map[int]int{}
--- a/pkg/gateway/config_test.go
+++ b/pkg/gateway/config_test.go
@@ -16,7 +16,7 @@
 // out of order or damaged.
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	d := newDeployment(t)
-	g := d.startHostWithFault("a", site.Silent)
+	g := d.startHostWithFault("a", site.FaultNoResponse)
 	newest := int64(0)
 	rapid.Check(t, func(t *rapid.T) {
 		start := newest
@@ -29,7 +29,7 @@
 			} else if version > newest {
 				newest = version
 			}
-			if got := g.TakeConfig(fleet.Entry{Key: "config", Value: []byte(value), Offset: int64(i)}); got != newest {
+			if got := g.ApplyConfig(fleet.Entry{Key: "config", Value: []byte(value), Offset: int64(i)}); got != newest {
 				t.Fatalf("got version %d in force, want %d, after %s", got, newest, value)
 			}
 		}
--- a/pkg/gateway/crash_test.go
+++ b/pkg/gateway/crash_test.go
@@ -26,7 +26,7 @@
 	for i := range n {
 		out = append(out, d.startEndpoint(site.EndpointConfig{
 			ID: fmt.Sprint("e", i), Service: "llm", Zone: "zone-a", Slots: 8, WeightsMB: 125, AdapterSlots: 4, Models: models,
-			Holds: []string{"warm"}, Events: 3, Pace: 5 * time.Millisecond, CrashOn: crashingBody,
+			LoadedModels: []string{"warm"}, Events: 3, EventInterval: 5 * time.Millisecond, CrashOn: crashingBody,
 		}))
 	}
 	return out
@@ -116,13 +116,13 @@
 	endpoints := d.startCrashableEndpoints(24)
 	a, b, c := d.startHost("a"), d.startHost("b"), d.startHost("c")
 	d.waitForPeers(a, b, c)
-	d.waitFor("a host is the controller", func() bool { return a.Controls() || b.Controls() || c.Controls() })
+	d.waitFor("a host is the controller", func() bool { return a.IsController() || b.IsController() || c.IsController() })
 	isolated := a
-	if a.Controls() {
+	if a.IsController() {
 		isolated = b
 	}
-	isolated.CutPeers()
-	d.waitFor("the host receives no updates", func() bool { return isolated.Silence() > blockPropagation })
+	isolated.DisconnectPeers()
+	d.waitFor("the host receives no updates", func() bool { return isolated.UpdateAge() > blockPropagation })
 	d.crashUntil(3, endpoints, isolated, c)
 	<-time.After(blockPropagation)
 	d.checkBlocked(endpoints, a, b, c)
@@ -144,17 +144,17 @@
 	}
 	d.waitForPeers(hosts...)
 	for _, h := range hosts {
-		h.CutPeers()
+		h.DisconnectPeers()
 	}
 	d.waitFor("no host receives updates", func() bool {
-		return !slices.ContainsFunc(hosts, func(h *host) bool { return h.Silence() < blockPropagation })
+		return !slices.ContainsFunc(hosts, func(h *host) bool { return h.UpdateAge() < blockPropagation })
 	})
 	for _, h := range hosts[:3] {
 		d.requestWithBody(h, "/screen/", "", crashingBody)
 	}
 	<-time.After(blockPropagation)
 	for i, h := range hosts {
-		if h.Blocks() == 0 {
+		if h.BlockCount() == 0 {
 			t.Errorf("host %d does not know of the block %v after the third crash", i, blockPropagation)
 		}
 	}
@@ -174,7 +174,7 @@
 	t.Parallel()
 	d := newDeployment(t)
 	endpoints, a, b := d.startCrashedPair()
-	d.waitFor("the block is stored", func() bool { return d.store.Size("keyed.crashes") > 0 && a.Blocks() > 0 })
+	d.waitFor("the block is stored", func() bool { return d.store.KeyCount("keyed.crashes") > 0 && a.BlockCount() > 0 })
 	<-time.After(blockPropagation)
 	a.Kill()
 	b.Kill()
@@ -189,9 +189,9 @@
 	t.Parallel()
 	d := newDeployment(t)
 	endpoints, a, b := d.startCrashedPair()
-	d.waitFor("the request is blocked", func() bool { return a.Blocks() > 0 && b.Blocks() > 0 })
+	d.waitFor("the request is blocked", func() bool { return a.BlockCount() > 0 && b.BlockCount() > 0 })
 	c := d.startHost("c")
-	c.storeListener.Set(site.Silent)
-	d.waitFor("the new host knows the block", func() bool { return c.Blocks() > 0 })
+	c.storeListener.SetFault(site.FaultNoResponse)
+	d.waitFor("the new host knows the block", func() bool { return c.BlockCount() > 0 })
 	d.checkBlocked(endpoints, c)
 }
--- a/pkg/gateway/export_test.go
+++ b/pkg/gateway/export_test.go
@@ -9,8 +9,8 @@
 // ReadinessAddr returns the address of the readiness endpoint.
 func (g *Gateway) ReadinessAddr() string { return g.readinessListener.Addr().String() }
 
-// Controls reports whether the host holds the claim.
-func (g *Gateway) Controls() bool { return g.election.Held() != 0 }
+// IsController reports whether the host holds the claim.
+func (g *Gateway) IsController() bool { return g.election.Held() != 0 }
 
 // Peers returns the number of other known hosts.
 func (g *Gateway) Peers() int { return g.mesh.hosts() - 1 }
@@ -22,27 +22,27 @@
 	g.stopping.Store(true)
 }
 
-// StoreAway reports whether the host has noticed that the store does not respond.
-func (g *Gateway) StoreAway() bool {
-	away, _ := g.storeReads.ListUnavailable()
-	return away
+// StoreUnavailable reports whether the host has noticed that the store does not respond.
+func (g *Gateway) StoreUnavailable() bool {
+	unavailable, _ := g.storeReads.ListUnavailable()
+	return unavailable
 }
 
 // OrdersAllowed reports whether the host may issue orders.
 func (g *Gateway) OrdersAllowed() bool { return g.ordersAllowed() }
 
-// CutPeers disconnects the host from the other hosts, but not from the store and the endpoints.
-func (g *Gateway) CutPeers() { _ = g.mesh.node.Close() }
+// DisconnectPeers disconnects the host from the other hosts, but not from the store and the endpoints.
+func (g *Gateway) DisconnectPeers() { _ = g.mesh.node.Close() }
 
-// TakeConfig applies a record of the configuration topic and returns the version in force
+// ApplyConfig applies a record of the configuration topic and returns the version in force
 // afterwards.
-func (g *Gateway) TakeConfig(e fleet.Entry) int64 {
+func (g *Gateway) ApplyConfig(e fleet.Entry) int64 {
 	g.applyConfig(e)
 	return g.configVersion()
 }
 
-// HearNotice applies a notice as if received from another host.
-func (g *Gateway) HearNotice(n fleet.Notice) { g.applyNotice(g.Now(), n) }
+// ApplyNotice applies a notice as if received from another host.
+func (g *Gateway) ApplyNotice(n fleet.Notice) { g.applyNotice(g.Now(), n) }
 
 // ControllerAddr returns the address of the controller known to the host.
 func (g *Gateway) ControllerAddr() string { return g.election.Newest().Holder.Addr }
@@ -50,8 +50,8 @@
 // ListAge returns the time since the store last answered a read of the list of endpoints.
 func (g *Gateway) ListAge() time.Duration { return g.listAge(g.Now()) }
 
-// Confirmed reports whether the controller confirms this host's list of endpoints.
-func (g *Gateway) Confirmed() bool { return g.listConfirmed() }
+// ListConfirmed reports whether the controller confirms this host's list of endpoints.
+func (g *Gateway) ListConfirmed() bool { return g.listConfirmed() }
 
 // ListOffset returns the offset up to which the host knows the list of endpoints.
 func (g *Gateway) ListOffset() int64 { return g.directory.Offset() }
@@ -59,15 +59,15 @@
 // LiveEndpoints returns the number of endpoints that the host considers alive.
 func (g *Gateway) LiveEndpoints() int { return len(g.directory.Live(g.Now())) }
 
-// Silence returns the time since the host last received an update.
-func (g *Gateway) Silence() time.Duration { return g.notices.age(g.Now()) }
+// UpdateAge returns the time since the host last received an update.
+func (g *Gateway) UpdateAge() time.Duration { return g.notices.age(g.Now()) }
 
-// Blocks returns the number of requests that the host blocks.
-func (g *Gateway) Blocks() int { return g.guard.Blocklist.Count() }
+// BlockCount returns the number of requests that the host blocks.
+func (g *Gateway) BlockCount() int { return g.guard.Blocklist.Count() }
 
-// ToldInTime reports whether the host received its first update well within the startup grace
+// UpdatedDuringStartup reports whether the host received its first update well within the startup grace
 // period.
-func (g *Gateway) ToldInTime() bool {
+func (g *Gateway) UpdatedDuringStartup() bool {
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
 	return !g.notices.firstResponse.IsZero() && g.notices.firstResponse.Sub(g.started) < startupGracePeriod*4/5
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -44,7 +44,7 @@
 // host is an entry host that runs in the test process.
 type host struct {
 	*gateway.Gateway
-	storeListener *site.Door
+	storeListener *site.Listener
 	run           func()
 	stop          context.CancelFunc
 	done          chan error
@@ -65,7 +65,7 @@
 
 func (d *deployment) startHost(name string) *host {
 	d.t.Helper()
-	h := d.startHostWithFault(name, site.Works)
+	h := d.startHostWithFault(name, site.NoFault)
 	d.waitFor("the host is ready", func() bool {
 		resp, err := http.Get("http://" + h.ReadinessAddr())
 		if err != nil {
@@ -92,7 +92,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	listener.Set(f)
+	listener.SetFault(f)
 	s, err := gateway.ParseSettings(name, fmt.Appendf(nil, settingsText, name, listener.Addr))
 	if err != nil {
 		d.t.Fatal(err)
@@ -147,7 +147,7 @@
 func (d *deployment) startEngine(id string) *site.Endpoint {
 	return d.startEndpoint(site.EndpointConfig{
 		ID: id, Service: "llm", Zone: "zone-a", Slots: 8, WeightsMB: 125, AdapterSlots: 4, Models: models,
-		Holds: []string{"warm", "idle"}, OnDisk: []string{"cold"}, Events: 3, Pace: 5 * time.Millisecond,
+		LoadedModels: []string{"warm", "idle"}, OnDisk: []string{"cold"}, Events: 3, EventInterval: 5 * time.Millisecond,
 	})
 }
 
@@ -156,7 +156,7 @@
 	route := func(name, kind, service string) site.Route {
 		return site.Route{
 			Name: name, Host: "h.example", PathPrefix: "/" + name + "/", Kind: kind, Service: service,
-			TimeoutMS: 8000, ObjectiveMS: 500, GapMS: 400, Attempts: 2, Resumable: true,
+			TimeoutMS: 8000, TargetLatencyMS: 500, TargetGapMS: 400, Attempts: 2, Resumable: true,
 		}
 	}
 	return site.Config{
@@ -250,7 +250,7 @@
 		is.Equal(got.status, http.StatusOK)
 		is.Equal(got.body, threeEvents)
 	}
-	is.Equal(len(e.Faults()), 0)
+	is.Equal(len(e.Violations()), 0)
 	is.Equal(e.Runs()[0].Path, "/chat/x%2Fy?q=1")
 	got := d.request(h, "/screen/", "")
 	is.Equal(got.status, http.StatusOK)
@@ -268,7 +268,7 @@
 	d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
 	a, b := d.startHost("a"), d.startHost("b")
 	d.waitFor("the hosts know each other", func() bool { return a.Peers() == 1 && b.Peers() == 1 })
-	b.storeListener.Set(site.Silent)
+	b.storeListener.SetFault(site.FaultNoResponse)
 	next := config(2)
 	next.Routes = append(next.Routes, site.Route{Name: "new", Host: "h.example", PathPrefix: "/new/", Kind: "safe", Service: "plain", TimeoutMS: 2000, Attempts: 1})
 	start := time.Now()
@@ -286,12 +286,12 @@
 	d.publish(config(1))
 	d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
 	d.startHost("a")
-	b := d.startHostWithFault("b", site.ReadOnly)
+	b := d.startHostWithFault("b", site.FaultReadOnly)
 	d.waitFor("the host serves and knows the other", func() bool { return b.Peers() == 1 && d.request(b, "/screen/", "").status == http.StatusOK })
 	is.True(!b.Ready())
 	// Also fail the reads that are in flight.
-	b.storeListener.Set(site.Silent)
-	b.storeListener.Set(site.Busy)
+	b.storeListener.SetFault(site.FaultNoResponse)
+	b.storeListener.SetFault(site.FaultReject)
 	next := config(2)
 	next.Routes = append(next.Routes, site.Route{Name: "new", Host: "h.example", PathPrefix: "/new/", Kind: "safe", Service: "plain", TimeoutMS: 2000, Attempts: 1})
 	start := time.Now()
@@ -308,9 +308,9 @@
 	d.publish(config(1))
 	d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 4})
 	h := d.startHost("a")
-	h.storeListener.Set(site.Silent)
-	d.waitFor("the host notices the store outage", h.StoreAway)
-	h.storeListener.Set(site.Works)
+	h.storeListener.SetFault(site.FaultNoResponse)
+	d.waitFor("the host notices the store outage", h.StoreUnavailable)
+	h.storeListener.SetFault(site.NoFault)
 	next := config(2)
 	next.Routes = append(next.Routes, site.Route{Name: "new", Host: "h.example", PathPrefix: "/new/", Kind: "safe", Service: "plain", TimeoutMS: 2000, Attempts: 1})
 	start := time.Now()
@@ -328,15 +328,15 @@
 	d.publish(config(1))
 	e := d.startEngine("e1")
 	a := d.startHost("a")
-	d.waitFor("the first host is the controller", a.Controls)
+	d.waitFor("the first host is the controller", a.IsController)
 	b := d.startHost("b")
 	d.waitFor("the hosts know each other", func() bool { return a.Peers() == 1 && b.Peers() == 1 })
 	a.Kill()
 	got := d.request(b, "/chat/", "cold")
 	is.Equal(got.status, http.StatusOK)
 	is.Equal(got.body, threeEvents)
-	is.True(b.Controls())
-	is.Equal(len(e.Faults()), 0)
+	is.True(b.IsController())
+	is.Equal(len(e.Violations()), 0)
 }
 
 // Guards against a host reporting its demand to a former controller while its read of the
@@ -347,10 +347,10 @@
 	d := newDeployment(t)
 	d.publish(config(1))
 	h := d.startHost("a")
-	d.waitFor("the host is the controller", h.Controls)
-	h.HearNotice(fleet.Notice{Holder: "b", Incarnation: "b-1", Addr: "127.0.0.1:9", Token: 99})
+	d.waitFor("the host is the controller", h.IsController)
+	h.ApplyNotice(fleet.Notice{Holder: "b", Incarnation: "b-1", Addr: "127.0.0.1:9", Token: 99})
 	is.Equal(h.ControllerAddr(), "127.0.0.1:9")
-	is.True(!h.Controls())
+	is.True(!h.IsController())
 }
 
 // Guards against cut streams and refused clients during a graceful shutdown.
@@ -361,7 +361,7 @@
 	d.publish(config(1))
 	d.startEndpoint(site.EndpointConfig{
 		ID: "e1", Service: "llm", Zone: "zone-a", Slots: 8, WeightsMB: 125, AdapterSlots: 4, Models: models,
-		Holds: []string{"warm"}, Events: 3, Pace: 150 * time.Millisecond,
+		LoadedModels: []string{"warm"}, Events: 3, EventInterval: 150 * time.Millisecond,
 	})
 	h := d.startHost("a")
 	replies := make(chan reply, 8)
--- a/pkg/gateway/list_test.go
+++ b/pkg/gateway/list_test.go
@@ -17,21 +17,21 @@
 	d.publish(config(1))
 	d.startEngine("e1")
 	h := d.startHost("a")
-	d.waitFor("the host is the controller", h.Controls)
-	h.storeListener.Set(site.Silent) // The host cannot fill the gap by its own read.
-	d.waitFor("the host notices the store outage", h.StoreAway)
+	d.waitFor("the host is the controller", h.IsController)
+	h.storeListener.SetFault(site.FaultNoResponse) // The host cannot fill the gap by its own read.
+	d.waitFor("the host notices the store outage", h.StoreUnavailable)
 	known := h.ListOffset()
 	notice := fleet.Notice{Holder: "b", Incarnation: "b-1", Addr: "127.0.0.1:9", Token: 99, ListAge: 10}
 
 	notice.ListSince, notice.ListChange = known+5, known+7
 	notice.ListEntries = []fleet.Entry{{Key: "e2", Offset: known + 7}}
-	h.HearNotice(notice)
-	is.True(!h.Confirmed()) // changes between known and known+5 are missing
+	h.ApplyNotice(notice)
+	is.True(!h.ListConfirmed()) // changes between known and known+5 are missing
 	is.Equal(h.ListOffset(), known)
 
 	notice.ListSince = known - 1
-	h.HearNotice(notice)
-	is.True(h.Confirmed())
+	h.ApplyNotice(notice)
+	is.True(h.ListConfirmed())
 	is.Equal(h.ListOffset(), known+8)
 }
 
@@ -44,11 +44,11 @@
 	d.publish(config(1))
 	d.startEngine("e1")
 	h := d.startHost("a")
-	d.waitFor("the host is the controller", h.Controls)
-	h.storeListener.Set(site.Silent)
-	d.waitFor("the host notices the store outage", h.StoreAway)
+	d.waitFor("the host is the controller", h.IsController)
+	h.storeListener.SetFault(site.FaultNoResponse)
+	d.waitFor("the host notices the store outage", h.StoreUnavailable)
 	known := h.ListOffset()
-	h.HearNotice(fleet.Notice{
+	h.ApplyNotice(fleet.Notice{
 		Holder: "b", Incarnation: "b-1", Addr: "127.0.0.1:9", Token: 99,
 		ListSince: known - 1, ListChange: known, StoreRestoredAgo: 100,
 		ListEntries: []fleet.Entry{{Key: "e1", Offset: known}},
--- a/pkg/gateway/signals_test.go
+++ b/pkg/gateway/signals_test.go
@@ -43,7 +43,7 @@
 	all := []*host{d.startHost("a"), d.startHost("b"), d.startHost("c")}
 	d.waitForPeers(all...)
 	const perHost, rate = 10, 3
-	limited.StateRate("3.0")
+	limited.SetRateLimitHeader("3.0")
 	stated := time.Now()
 	tick := time.NewTicker(time.Second / perHost)
 	defer tick.Stop()
@@ -69,8 +69,8 @@
 	draining := d.startEndpoint(site.EndpointConfig{ID: "p1", Service: "plain", Zone: "zone-a", Slots: 50})
 	d.startEndpoint(site.EndpointConfig{ID: "p2", Service: "plain", Zone: "zone-a", Slots: 50})
 	h := d.startHost("a")
-	h.storeListener.Set(site.Silent)
-	draining.StateLeaving()
+	h.storeListener.SetFault(site.FaultNoResponse)
+	draining.SetLeavingHeader()
 	send := func() { is.Equal(d.request(h, "/screen/", "").status, http.StatusOK) }
 	d.waitFor("a response announces that the endpoint is draining", func() bool {
 		send()
@@ -97,7 +97,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		rejected = append(rejected, time.Now())
-		return site.Behavior{Reject: true, Pause: "2"}
+		return site.Behavior{Reject: true, RetryAfter: "2"}
 	}})
 	h := d.startHost("a")
 	var wg sync.WaitGroup
--- a/pkg/gateway/startup_test.go
+++ b/pkg/gateway/startup_test.go
@@ -27,7 +27,7 @@
 	d.startEngine("e2")
 	var hosts []*host
 	for i := range fleet {
-		hosts = append(hosts, d.newHost(fmt.Sprint("h", i), site.Works))
+		hosts = append(hosts, d.newHost(fmt.Sprint("h", i), site.NoFault))
 	}
 	for _, h := range hosts {
 		h.run()
@@ -42,8 +42,8 @@
 	late := 0
 	for _, h := range hosts {
 		switch {
-		case h.Controls():
-		case h.ToldInTime():
+		case h.IsController():
+		case h.UpdatedDuringStartup():
 			updated = append(updated, h.storeListener.Calls())
 		default:
 			late++
