--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -85,7 +85,7 @@
 	for _, o := range outcomes {
 		prefix := fmt.Sprintf("%s\t%.3f\t%.0f\t%.0f", o.Name, o.Mean.Worth, o.Mean.Loads, o.Mean.StoreLoads)
 		for _, class := range o.Mean.Classes {
-			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\n", prefix, class.Name, class.Asked, class.InTime, class.Late, class.Refused, class.MedianMS, class.TailMS)
+			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\n", prefix, class.Name, class.Requested, class.OnTime, class.Late, class.Refused, class.MedianMS, class.TailMS)
 			prefix = "\t\t\t"
 		}
 	}
--- a/internal/cli/experiment_test.go
+++ b/internal/cli/experiment_test.go
@@ -31,7 +31,7 @@
 	is.NoErr(json.Unmarshal(out.Bytes(), &outcomes))
 	is.Equal(len(outcomes), 3)
 	is.Equal(outcomes[2].Name, "store_slots=2")
-	is.True(outcomes[0].Mean.Classes[0].Asked > 0)
+	is.True(outcomes[0].Mean.Classes[0].Requested > 0)
 	out.Reset()
 	is.Equal(Run([]string{"experiment", "-scenario", file, "-seeds", "1"}, &out, &errOut), 0)
 	is.True(strings.Contains(out.String(), "baseline"))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -368,5 +368,5 @@
 		panic(http.ErrAbortHandler)
 	}
 	body, _ := json.Marshal(map[string]any{"service": in.Service, "run": n, "echo": in.Body})
-	writeJSON(w, external.ServiceAnswer{RequestID: in.RequestID, Status: http.StatusOK, Body: body})
+	writeJSON(w, external.ServiceResponse{RequestID: in.RequestID, Status: http.StatusOK, Body: body})
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -8,10 +8,10 @@
 )
 
 // For blocks for d or until ctx is done. It reports whether d elapsed.
-func For(ctx context.Context, d time.Duration) bool { return Or(ctx, d, nil) }
+func For(ctx context.Context, d time.Duration) bool { return ForOrWake(ctx, d, nil) }
 
-// Or is like For, but also returns when wake is closed or receives a value.
-func Or(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
+// ForOrWake is like For, but also returns when wake is closed or receives a value.
+func ForOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/pkg/completion/backend.go
+++ b/pkg/completion/backend.go
@@ -68,7 +68,7 @@
 	return newAnswer(&tokenBody{stream: stream, cancel: cancel}), nil
 }
 
-// classifyError maps an error of external.Engine to an answer or to the errors
+// classifyError maps an error of external.Engine to a response or to the errors
 // of package serve, depending on whether the call may have run.
 func classifyError(err error) (*serve.Response, error) {
 	var retryAfterErr *external.RetryAfterError
--- a/pkg/completion/call.go
+++ b/pkg/completion/call.go
@@ -80,8 +80,8 @@
 // NewRequestID returns a new version 7 UUID.
 func NewRequestID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Of returns the call that r was made from. r must come from a Runner.
-func Of(r *serve.Request) Call { return r.Wire.(*callState).call }
+// CallOf returns the call that r was made from. r must come from a Runner.
+func CallOf(r *serve.Request) Call { return r.Wire.(*callState).call }
 
 // Keys holds the idempotency keys that all hosts share.
 type Keys interface {
@@ -99,10 +99,10 @@
 
 // Meter records metrics of calls.
 type Meter interface {
-	// Answered records the time until the first part of a response.
-	Answered(model string, cold bool, after time.Duration)
-	// Retried counts a further send: before the response starts, or to resume it.
-	Retried(model, kind string)
+	// RecordFirstToken records the time until the first part of a response.
+	RecordFirstToken(model string, cold bool, after time.Duration)
+	// RecordRetry counts a further send: before the response starts, or to resume it.
+	RecordRetry(model, kind string)
 }
 
 // Config holds the dependencies of a Runner.
@@ -179,10 +179,10 @@
 func (r *Runner) report(st *callState, result serve.Result) {
 	name := st.call.Model.Name
 	for range result.Resumed {
-		r.cfg.Meter.Retried(name, "resume")
+		r.cfg.Meter.RecordRetry(name, "resume")
 	}
 	for range result.Sent - 1 - result.Resumed {
-		r.cfg.Meter.Retried(name, "start")
+		r.cfg.Meter.RecordRetry(name, "start")
 	}
 	r.cfg.Logger.Info("request", append(result.LogAttrs(), "customer", st.call.Customer)...)
 }
--- a/pkg/completion/deferred.go
+++ b/pkg/completion/deferred.go
@@ -11,8 +11,8 @@
 	Temperature float64 `json:"temperature,omitempty"`
 }
 
-// DeferredAnswer is the stored form of the response to a deferred request.
-type DeferredAnswer struct {
+// DeferredResult is the stored form of the response to a deferred request.
+type DeferredResult struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
 	Reason string `json:"reason"`
--- a/pkg/completion/idempotency.go
+++ b/pkg/completion/idempotency.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// recordedAnswer is the stored form of a completion.
-type recordedAnswer struct {
+// recordedResponse is the stored form of a completion.
+type recordedResponse struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
 	Reason string `json:"reason"`
@@ -103,7 +103,7 @@
 	if !st.claimed {
 		return
 	}
-	body, err := json.Marshal(recordedAnswer{Text: string(st.recordedText), Tokens: last.Index, Reason: last.Reason})
+	body, err := json.Marshal(recordedResponse{Text: string(st.recordedText), Tokens: last.Index, Reason: last.Reason})
 	if err != nil {
 		st.finishUnknown()
 		return
@@ -143,16 +143,16 @@
 		}
 		return io.NopCloser(bytes.NewReader(body)), nil
 	}
-	var answer recordedAnswer
-	if refusal := decodeOutcome(o, &answer); refusal != nil {
+	var recorded recordedResponse
+	if refusal := decodeOutcome(o, &recorded); refusal != nil {
 		return nil, refusal
 	}
-	st.replayedTokens = answer.Tokens
-	text, err := encodeToken(external.Token{RequestID: st.call.RequestID, Text: answer.Text})
+	st.replayedTokens = recorded.Tokens
+	text, err := encodeToken(external.Token{RequestID: st.call.RequestID, Text: recorded.Text})
 	if err != nil {
 		return nil, OutcomeUnknown("the recorded answer is unreadable: %v", err)
 	}
-	last, err := encodeToken(external.Token{RequestID: st.call.RequestID, Index: 1, Done: true, Reason: answer.Reason})
+	last, err := encodeToken(external.Token{RequestID: st.call.RequestID, Index: 1, Done: true, Reason: recorded.Reason})
 	if err != nil {
 		return nil, OutcomeUnknown("the recorded answer is unreadable: %v", err)
 	}
--- a/pkg/completion/answer.go
+++ b/pkg/completion/stream.go
@@ -13,12 +13,12 @@
 	"github.com/tealvane/tealvane/pkg/serve"
 )
 
-// errReaderClosed is returned by tokenSink.Write after the reader has closed the answer.
+// errReaderClosed is returned by tokenSink.Write after the reader has closed the response.
 var errReaderClosed = errors.New("reader closed the completion before its last token")
 
-// Answer is a completion that is read token by token. It is not safe for
+// Stream is a completion that is read token by token. It is not safe for
 // concurrent use.
-type Answer struct {
+type Stream struct {
 	Call    Call
 	Started time.Time
 
@@ -32,11 +32,11 @@
 }
 
 // Start sends a completion and blocks until its first token arrives.
-func (r *Runner) Start(ctx context.Context, c Call) (*Answer, *Refusal) {
+func (r *Runner) Start(ctx context.Context, c Call) (*Stream, *Refusal) {
 	ctx, cancel := context.WithCancel(ctx)
 	tokens := make(chan external.Token)
 	st := &callState{runner: r, call: c}
-	a := &Answer{Call: c, Started: r.cfg.Now(), state: st, tokens: tokens, cancel: cancel}
+	a := &Stream{Call: c, Started: r.cfg.Now(), state: st, tokens: tokens, cancel: cancel}
 	r.background.Go(func() {
 		defer close(tokens)
 		r.execute(ctx, st, &tokenSink{ctx: ctx, state: st, started: a.Started, out: tokens})
@@ -51,7 +51,7 @@
 	return a, nil
 }
 
-func (a *Answer) receive() (external.Token, *Refusal) {
+func (a *Stream) receive() (external.Token, *Refusal) {
 	t, ok := <-a.tokens
 	switch {
 	case ok:
@@ -65,7 +65,7 @@
 
 // Next returns the next token; Done marks the last one. A refusal means that
 // the completion is incomplete.
-func (a *Answer) Next() (external.Token, *Refusal) {
+func (a *Stream) Next() (external.Token, *Refusal) {
 	if a.first == nil {
 		t, refusal := a.receive()
 		if refusal == nil {
@@ -80,10 +80,10 @@
 }
 
 // Close cancels the rest of the completion. It is a no-op after the last token.
-func (a *Answer) Close() { a.cancel() }
+func (a *Stream) Close() { a.cancel() }
 
 // Collect reads the completion to its end and closes it.
-func (a *Answer) Collect() (text string, tokens int, reason string, refusal *Refusal) {
+func (a *Stream) Collect() (text string, tokens int, reason string, refusal *Refusal) {
 	defer a.Close()
 	var all []byte
 	for {
@@ -113,7 +113,7 @@
 func (s *tokenSink) Begin(*serve.Response) {
 	r := s.state.runner
 	if !s.state.replayed {
-		r.cfg.Meter.Answered(s.state.call.Model.Name, s.state.coldStart, r.cfg.Now().Sub(s.started))
+		r.cfg.Meter.RecordFirstToken(s.state.call.Model.Name, s.state.coldStart, r.cfg.Now().Sub(s.started))
 	}
 }
 
--- a/pkg/emulator/arrivals.go
+++ b/pkg/emulator/arrivals.go
@@ -15,7 +15,7 @@
 		for expected > 0 {
 			if sim.random.Float64() < expected {
 				sim.submit(&request{model: m, first: sim.now})
-				sim.result.statsOf(m.class).Asked++
+				sim.result.statsOf(m.class).Requested++
 			}
 			expected--
 		}
--- a/pkg/emulator/compare.go
+++ b/pkg/emulator/compare.go
@@ -30,13 +30,13 @@
 
 // ClassMean holds the figures of ClassResult as means over seeds.
 type ClassMean struct {
-	Name     string  `json:"name"`
-	Asked    float64 `json:"asked"`
-	InTime   float64 `json:"in_time"`
-	Late     float64 `json:"late"`
-	Refused  float64 `json:"refused"`
-	MedianMS float64 `json:"median_ms"`
-	TailMS   float64 `json:"tail_ms"`
+	Name      string  `json:"name"`
+	Requested float64 `json:"asked"`
+	OnTime    float64 `json:"in_time"`
+	Late      float64 `json:"late"`
+	Refused   float64 `json:"refused"`
+	MedianMS  float64 `json:"median_ms"`
+	TailMS    float64 `json:"tail_ms"`
 }
 
 // Compare simulates a scenario with each variant on the same seeds, starting at 1.
@@ -51,7 +51,7 @@
 				if v.Change != nil {
 					v.Change(&scenario)
 				}
-				results[seed] = Play(scenario, v.Policy, uint64(seed+1))
+				results[seed] = Simulate(scenario, v.Policy, uint64(seed+1))
 			})
 		}
 		runs.Wait()
@@ -75,8 +75,8 @@
 				m.Classes = append(m.Classes, ClassMean{Name: c.Name})
 			}
 			stats := &m.Classes[i]
-			stats.Asked += float64(c.Asked) / n
-			stats.InTime += float64(c.InTime) / n
+			stats.Requested += float64(c.Requested) / n
+			stats.OnTime += float64(c.OnTime) / n
 			stats.Late += float64(c.Late) / n
 			stats.Refused += float64(c.Refused) / n
 			stats.MedianMS += float64(c.Median) / n
--- a/pkg/emulator/dispatch.go
+++ b/pkg/emulator/dispatch.go
@@ -42,7 +42,7 @@
 	stats := sim.result.statsOf(c)
 	stats.waits = append(stats.waits, wait)
 	if wait <= c.Objective {
-		stats.InTime++
+		stats.OnTime++
 	} else {
 		stats.Late++
 	}
@@ -69,7 +69,7 @@
 	if r.retried {
 		stats := sim.result.statsOf(r.model.class)
 		stats.Refused++
-		stats.Held += holdCost(sim.now.Sub(r.first), r.model.class)
+		stats.HoldCost += holdCost(sim.now.Sub(r.first), r.model.class)
 		return true
 	}
 	r.retried = true
--- a/pkg/emulator/emulator_test.go
+++ b/pkg/emulator/emulator_test.go
@@ -21,8 +21,8 @@
 func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
 	s := loadScenario(t, "overload.yaml")
-	a := emulator.Play(s, residency.Decide, 1)
-	b := emulator.Play(s, residency.Decide, 1)
+	a := emulator.Simulate(s, residency.Decide, 1)
+	b := emulator.Simulate(s, residency.Decide, 1)
 	is.Equal(a.Worth, b.Worth)
 	is.Equal(a.Loads, b.Loads)
 }
@@ -67,7 +67,7 @@
 	s := loadScenario(b, "overload.yaml")
 	worth, tail := 0.0, 0.0
 	for seed := range b.N {
-		r := emulator.Play(s, residency.Decide, uint64(seed+1))
+		r := emulator.Simulate(s, residency.Decide, uint64(seed+1))
 		worth += r.Worth
 		tail += float64(r.Classes[1].Tail)
 	}
--- a/pkg/emulator/result.go
+++ b/pkg/emulator/result.go
@@ -17,14 +17,14 @@
 
 // ClassResult holds the figures of one class.
 type ClassResult struct {
-	Name    string `json:"name"`
-	Asked   int    `json:"asked"`
-	InTime  int    `json:"in_time"`
-	Late    int    `json:"late"`
-	Refused int    `json:"refused"`
-	// Held is the sum of the costs of refused requests. The cost of each ranges from
+	Name      string `json:"name"`
+	Requested int    `json:"asked"`
+	OnTime    int    `json:"in_time"`
+	Late      int    `json:"late"`
+	Refused   int    `json:"refused"`
+	// HoldCost is the sum of the costs of refused requests. The cost of each ranges from
 	// 0, refused at once, to 1, held for most of the client's budget.
-	Held float64 `json:"held"`
+	HoldCost float64 `json:"held"`
 	// Median and Tail are the 50th and 95th percentiles of the time to first token
 	// in milliseconds.
 	Median int64 `json:"median_ms"`
@@ -43,8 +43,8 @@
 	earned, asked := 0.0, 0.0
 	for i, c := range s.Classes {
 		stats := &r.Classes[i]
-		earned += float64(stats.InTime)*c.Worth + float64(stats.Late)*c.LateWorth - stats.Held*c.Worth
-		asked += float64(stats.Asked) * c.Worth
+		earned += float64(stats.OnTime)*c.Worth + float64(stats.Late)*c.LateWorth - stats.HoldCost*c.Worth
+		asked += float64(stats.Requested) * c.Worth
 		slices.Sort(stats.waits)
 		if n := len(stats.waits); n > 0 {
 			stats.Median = stats.waits[n/2].Milliseconds()
--- a/pkg/emulator/simulation.go
+++ b/pkg/emulator/simulation.go
@@ -186,8 +186,8 @@
 	return best
 }
 
-// Play simulates a scenario with a policy. The same seed gives the same load.
-func Play(s Scenario, policy Policy, seed uint64) Result {
+// Simulate simulates a scenario with a policy. The same seed gives the same load.
+func Simulate(s Scenario, policy Policy, seed uint64) Result {
 	sim := newSimulation(s, policy, seed)
 	end := sim.start.Add(s.Duration)
 	for n := 0; sim.now.Before(end); n++ {
--- a/pkg/entryhost/deferred.go
+++ b/pkg/entryhost/deferred.go
@@ -75,7 +75,7 @@
 
 func (d *deferredRunner) runRequest(ctx context.Context, r state.DeferredRequest) {
 	defer d.finish(r.ID)
-	answer, status, retry := d.answer(ctx, r)
+	result, status, retry := d.complete(ctx, r)
 	if retry {
 		select {
 		case <-ctx.Done():
@@ -83,26 +83,26 @@
 		}
 		return
 	}
-	body, err := json.Marshal(answer)
+	body, err := json.Marshal(result)
 	if err != nil || len(body) > completion.MaxDeferredBytes {
 		body, status = []byte(`{"error":"the answer is too large to keep"}`), http.StatusInsufficientStorage
 	}
 	_ = d.host.appendWithTimeout(ctx, record.Record{Finish: &record.DeferredResponse{ID: r.ID, Status: status, Body: body}})
 }
 
-// answer runs the request and reports whether it should be retried.
-func (d *deferredRunner) answer(ctx context.Context, r state.DeferredRequest) (answer completion.DeferredAnswer, status int, retry bool) {
+// complete runs the request and reports whether it should be retried.
+func (d *deferredRunner) complete(ctx context.Context, r state.DeferredRequest) (result completion.DeferredResult, status int, retry bool) {
 	entry, ok := d.host.state.Contracts.Get(r.Customer)
 	if !ok {
-		return completion.DeferredAnswer{Error: "the customer has no contract any more"}, http.StatusForbidden, false
+		return completion.DeferredResult{Error: "the customer has no contract any more"}, http.StatusForbidden, false
 	}
 	m, ok := entry.Contract.Model(r.Model)
 	if !ok {
-		return completion.DeferredAnswer{Error: "the contract does not hold the model any more"}, http.StatusForbidden, false
+		return completion.DeferredResult{Error: "the contract does not hold the model any more"}, http.StatusForbidden, false
 	}
 	var body completion.DeferredBody
 	if err := json.Unmarshal(r.Body, &body); err != nil {
-		return completion.DeferredAnswer{Error: err.Error()}, http.StatusBadRequest, false
+		return completion.DeferredResult{Error: err.Error()}, http.StatusBadRequest, false
 	}
 	c := completion.Call{
 		Customer:    r.Customer,
@@ -120,17 +120,17 @@
 	}
 	a, refusal := d.host.runner.Start(ctx, c)
 	if refusal == nil {
-		answer.Text, answer.Tokens, answer.Reason, refusal = a.Collect()
+		result.Text, result.Tokens, result.Reason, refusal = a.Collect()
 	}
 	if refusal == nil {
-		return answer, http.StatusOK, false
+		return result, http.StatusOK, false
 	}
 	if refusal.Reason == string(serve.CauseCrashes) {
 		// Do not retry: the request would crash another endpoint each time its block expires.
-		return completion.DeferredAnswer{Error: refusal.Message}, http.StatusBadGateway, false
+		return completion.DeferredResult{Error: refusal.Message}, http.StatusBadGateway, false
 	}
 	if refusal.RetryAfter > 0 || !m.NonIdempotent {
-		return completion.DeferredAnswer{}, 0, true
+		return completion.DeferredResult{}, 0, true
 	}
-	return completion.DeferredAnswer{Error: refusal.Message}, refusal.Status, false
+	return completion.DeferredResult{Error: refusal.Message}, refusal.Status, false
 }
--- a/pkg/entryhost/fake_engine_test.go
+++ b/pkg/entryhost/fake_engine_test.go
@@ -191,7 +191,7 @@
 	closed       bool
 }
 
-// fakeText returns the complete answer to a prompt.
+// fakeText returns the complete response to a prompt.
 func fakeText(prompt string) string { return strings.Repeat(prompt+" ", fakeTokens) }
 
 // Next implements external.TokenStream. Crossed answers are reported as broken, as httpadapter
@@ -228,15 +228,15 @@
 }
 
 // Call implements external.Engine.
-func (a fakeEngines) Call(_ context.Context, addr string, c external.ServiceCall) (external.ServiceAnswer, error) {
+func (a fakeEngines) Call(_ context.Context, addr string, c external.ServiceCall) (external.ServiceResponse, error) {
 	e, err := a.lockEngine(addr)
 	if err != nil {
-		return external.ServiceAnswer{}, err
+		return external.ServiceResponse{}, err
 	}
 	if e.rejectPause > 0 {
 		defer a.host.cluster.mu.Unlock()
 		e.rejected++
-		return external.ServiceAnswer{}, &external.RetryAfterError{RetryAfter: e.rejectPause, Cause: external.ErrRejected}
+		return external.ServiceResponse{}, &external.RetryAfterError{RetryAfter: e.rejectPause, Cause: external.ErrRejected}
 	}
 	e.ran = append(e.ran, c.RequestID)
 	run := len(e.ran)
@@ -248,9 +248,9 @@
 	a.host.cluster.mu.Unlock()
 	time.Sleep(fakeServiceTime)
 	if lose || a.host.dead.Load() {
-		return external.ServiceAnswer{}, external.ErrUnavailable
+		return external.ServiceResponse{}, external.ErrUnavailable
 	}
-	return external.ServiceAnswer{RequestID: c.RequestID, Status: 200, Body: []byte(fmt.Sprintf(`"%s run %d"`, e.name, run))}, nil
+	return external.ServiceResponse{RequestID: c.RequestID, Status: 200, Body: []byte(fmt.Sprintf(`"%s run %d"`, e.name, run))}, nil
 }
 
 func (fakeEngines) Cancel(context.Context, string, string) error { return nil }
--- a/pkg/entryhost/idempotency_test.go
+++ b/pkg/entryhost/idempotency_test.go
@@ -32,9 +32,9 @@
 	})
 }
 
-// Guards against a retry that waits until its deadline although the answer is lost and the outcome
+// Guards against a retry that waits until its deadline although the response is lost and the outcome
 // unknown.
-func TestRetryAfterLostAnswerFailsFast(t *testing.T) {
+func TestRetryAfterLostResponseFailsFast(t *testing.T) {
 	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
 		e := f.joinService("s0", "screen")
 		time.Sleep(settleTime)
--- a/pkg/entryhost/invariants_test.go
+++ b/pkg/entryhost/invariants_test.go
@@ -35,7 +35,7 @@
 	return found
 }
 
-// checkComplete checks that each successful completion is the complete answer to its own request.
+// checkComplete checks that each successful completion is the complete response to its own request.
 func checkComplete(r result) (found []string) {
 	for _, c := range r.calls {
 		service := c.model == "lookup" || c.model == "screen"
@@ -56,7 +56,7 @@
 	return found
 }
 
-// checkAtMostOnce checks that the calls with one key led to at most one run and that their answers
+// checkAtMostOnce checks that the calls with one key led to at most one run and that their responses
 // are identical.
 func checkAtMostOnce(r result) (found []string) {
 	runs := map[string]int{}
--- a/pkg/entryhost/loops.go
+++ b/pkg/entryhost/loops.go
@@ -177,7 +177,7 @@
 	h.members.RecordHealthCheck(now, t.Name, status, err)
 	h.membersMu.Unlock()
 	for _, r := range status.Replicas {
-		h.queues.NoteLoad(now, t.Pool, r.Model, string(r.ID), r.Running)
+		h.queues.RecordLoad(now, t.Pool, r.Model, string(r.ID), r.Running)
 	}
 }
 
--- a/pkg/entryhost/metrics.go
+++ b/pkg/entryhost/metrics.go
@@ -46,8 +46,8 @@
 	m.count("refusals", map[string]string{"model": model, "reason": reason})
 }
 
-// Answered implements completion.Meter.
-func (m *metrics) Answered(model string, cold bool, firstToken time.Duration) {
+// RecordFirstToken implements completion.Meter.
+func (m *metrics) RecordFirstToken(model string, cold bool, firstToken time.Duration) {
 	start := "warm"
 	if cold {
 		start = "cold"
@@ -55,8 +55,8 @@
 	m.recordLatency("first_token", map[string]string{"model": model, "start": start}, firstToken)
 }
 
-// Retried implements completion.Meter.
-func (m *metrics) Retried(model, kind string) {
+// RecordRetry implements completion.Meter.
+func (m *metrics) RecordRetry(model, kind string) {
 	m.count("retries", map[string]string{"model": model, "kind": kind})
 }
 
--- a/pkg/entryhost/replicas.go
+++ b/pkg/entryhost/replicas.go
@@ -41,7 +41,7 @@
 	h.membersMu.Lock()
 	defer h.membersMu.Unlock()
 	var targets []state.Target
-	for _, e := range h.members.Service(service) {
+	for _, e := range h.members.ServiceEndpoints(service) {
 		targets = append(targets, state.Target{
 			Replica:  record.ReplicaID(e.Name),
 			Endpoint: e.Name,
@@ -74,7 +74,7 @@
 
 // requestTerms returns the contract terms that apply to a request.
 func requestTerms(r *serve.Request) fairqueue.Terms {
-	c := completion.Of(r)
+	c := completion.CallOf(r)
 	return fairqueue.Terms{Customer: c.Customer, Model: c.Model, Rank: c.Rank}
 }
 
--- a/pkg/entryhost/schedule_test.go
+++ b/pkg/entryhost/schedule_test.go
@@ -55,7 +55,7 @@
 	body     string
 }
 
-// expectedText returns the complete answer to the call.
+// expectedText returns the complete response to the call.
 func (c *testCall) expectedText() string { return fakeText(c.prompt()) }
 
 // prompt returns the key, so that retries with the same key have the same prompt, or else the ID.
--- a/pkg/external/external.go
+++ b/pkg/external/external.go
@@ -178,8 +178,8 @@
 	Body      json.RawMessage `json:"body"`
 }
 
-// ServiceAnswer is the response of a plain service.
-type ServiceAnswer struct {
+// ServiceResponse is the response of a plain service.
+type ServiceResponse struct {
 	RequestID string          `json:"request_id"`
 	Status    int             `json:"status"`
 	Body      json.RawMessage `json:"body"`
@@ -206,7 +206,7 @@
 	Generate(ctx context.Context, addr string, r GenerateRequest) (TokenStream, error)
 	Cancel(ctx context.Context, addr, requestID string) error
 	// Call calls a plain service; errors are as for Generate.
-	Call(ctx context.Context, addr string, c ServiceCall) (ServiceAnswer, error)
+	Call(ctx context.Context, addr string, c ServiceCall) (ServiceResponse, error)
 	CacheEvents(ctx context.Context, addr string, from uint64) ([]CacheEvent, error)
 	ExportKV(ctx context.Context, addr, requestID string) ([]byte, error)
 	ImportKV(ctx context.Context, addr, requestID string, data []byte) error
--- a/pkg/external/httpadapter/engine.go
+++ b/pkg/external/httpadapter/engine.go
@@ -108,13 +108,13 @@
 }
 
 // Call implements external.Engine.
-func (e *Engine) Call(ctx context.Context, addr string, c external.ServiceCall) (external.ServiceAnswer, error) {
-	var out external.ServiceAnswer
+func (e *Engine) Call(ctx context.Context, addr string, c external.ServiceCall) (external.ServiceResponse, error) {
+	var out external.ServiceResponse
 	if err := e.doJSON(ctx, http.MethodPost, addr+"/v1/call", c, &out); err != nil {
-		return external.ServiceAnswer{}, errors.Wrap(err, "call")
+		return external.ServiceResponse{}, errors.Wrap(err, "call")
 	}
 	if out.RequestID != c.RequestID {
-		return external.ServiceAnswer{}, errors.Wrapf(external.ErrBroken, "response is for request %q, want %q", out.RequestID, c.RequestID)
+		return external.ServiceResponse{}, errors.Wrapf(external.ErrBroken, "response is for request %q, want %q", out.RequestID, c.RequestID)
 	}
 	return out, nil
 }
--- a/pkg/fairqueue/fairqueue.go
+++ b/pkg/fairqueue/fairqueue.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// NoteLoad records an engine's load report for one of its replicas.
-func (s *Queues) NoteLoad(now time.Time, pool, model, replica string, running int) {
+// RecordLoad records an engine's load report for one of its replicas.
+func (s *Queues) RecordLoad(now time.Time, pool, model, replica string, running int) {
 	s.mu.RLock()
 	q := s.queues[key{contract.Base, pool, model}]
 	if q == nil {
--- a/pkg/fleet/bench_test.go
+++ b/pkg/fleet/bench_test.go
@@ -24,7 +24,7 @@
 	for _, n := range []int{18, 1000, 12000} {
 		locator, d := locatorWithEndpoints(n)
 		e := endpoint("e6")
-		e.Holds = []fleet.Held{{Model: "m6"}, {Model: "m7"}}
+		e.Loaded = []fleet.LoadedModel{{Model: "m6"}, {Model: "m7"}}
 		offset := int64(n)
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
 			for b.Loop() {
@@ -41,7 +41,7 @@
 	d := fleet.NewDirectory()
 	for i := range n {
 		e := endpoint(fmt.Sprint("e", i))
-		e.Holds = []fleet.Held{{Model: fmt.Sprint("m", i%310)}, {Model: fmt.Sprint("m", (i+1)%310)}}
+		e.Loaded = []fleet.LoadedModel{{Model: fmt.Sprint("m", i%310)}, {Model: fmt.Sprint("m", (i+1)%310)}}
 		d.Apply(at(0), int64(i), e)
 	}
 	return fleet.NewLocator(d), d
--- a/pkg/fleet/endpoint.go
+++ b/pkg/fleet/endpoint.go
@@ -56,14 +56,14 @@
 	// Unreadable is set if the newest entry of the endpoint cannot be decoded, for example
 	// because another writer wrote it. Only the ID is valid then.
 	Unreadable bool
-	Holds      []Held
+	Loaded     []LoadedModel
 	// InMemory and OnDisk list the models of which the endpoint keeps a copy.
 	InMemory []string
 	OnDisk   []string
 }
 
-// Held is a model that an endpoint has loaded.
-type Held struct {
+// LoadedModel is a model that an endpoint has loaded.
+type LoadedModel struct {
 	Model    string
 	Adapters []string
 }
@@ -73,7 +73,7 @@
 
 // Report is the response of an endpoint to a status call. It may lag behind the actual state.
 type Report struct {
-	Holds []Held
+	Loaded []LoadedModel
 	// Loading lists the adapters that are being loaded, as MODEL/NAME.
 	Loading []string
 	// Busy is set while the endpoint executes an order.
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -108,7 +108,7 @@
 	is := is.New(t)
 	d := fleet.NewDirectory()
 	e := endpoint("a")
-	e.Holds = []fleet.Held{{Model: "listed"}}
+	e.Loaded = []fleet.LoadedModel{{Model: "listed"}}
 	d.Apply(at(0), 0, e)
 	l := fleet.NewLocator(d)
 	ready := func(now time.Time, model, adapter string) int {
--- a/pkg/fleet/incarnation_test.go
+++ b/pkg/fleet/incarnation_test.go
@@ -12,7 +12,7 @@
 	e := endpoint(name)
 	e.ID = fleet.NewEndpointID(name, startMillis)
 	for _, m := range models {
-		e.Holds = append(e.Holds, fleet.Held{Model: m})
+		e.Loaded = append(e.Loaded, fleet.LoadedModel{Model: m})
 	}
 	return e
 }
--- a/pkg/fleet/locator.go
+++ b/pkg/fleet/locator.go
@@ -246,8 +246,8 @@
 }
 
 func listedModels(e Endpoint) map[string]modelState {
-	models := make(map[string]modelState, len(e.Holds))
-	for _, h := range e.Holds {
+	models := make(map[string]modelState, len(e.Loaded))
+	for _, h := range e.Loaded {
 		r := modelState{adapters: map[string]bool{}}
 		for _, a := range h.Adapters {
 			r.adapters[a] = true
--- a/pkg/fleet/locator_test.go
+++ b/pkg/fleet/locator_test.go
@@ -47,7 +47,7 @@
 		if known && now.Sub(r.heardAt) < controllerTimeout {
 			holdsModel = holdsModel || slices.ContainsFunc(p.Models, func(m fleet.ModelPlacement) bool { return m.Model == model && !m.Unloading })
 		} else {
-			holdsModel = holdsModel || slices.ContainsFunc(v.Holds, func(h fleet.Held) bool { return h.Model == model })
+			holdsModel = holdsModel || slices.ContainsFunc(v.Loaded, func(h fleet.LoadedModel) bool { return h.Model == model })
 		}
 		if holdsModel {
 			out = append(out, string(v.ID))
@@ -77,7 +77,7 @@
 				e := endpoint(string(id()))
 				e.Service = rapid.SampledFrom([]string{"s", "t"}).Draw(t, "service")
 				e.Draining = rapid.IntRange(0, 5).Draw(t, "draining") == 0
-				e.Holds = []fleet.Held{{Model: model()}}
+				e.Loaded = []fleet.LoadedModel{{Model: model()}}
 				d.Apply(now, offset, e)
 				l.MarkStale()
 			},
--- a/pkg/follow/follower.go
+++ b/pkg/follow/follower.go
@@ -177,7 +177,7 @@
 			wake = nil
 			remaining = min(remaining, f.MinWakePause-elapsed)
 		}
-		if remaining <= 0 || !wait.Or(ctx, min(remaining, recheckInterval), wake) {
+		if remaining <= 0 || !wait.ForOrWake(ctx, min(remaining, recheckInterval), wake) {
 			return
 		}
 	}
@@ -189,5 +189,5 @@
 	if f.Topic != fleet.TopicEndpoints {
 		_, restored = f.State.ListUnavailable()
 	}
-	wait.Or(ctx, wait.Jitter(d), restored)
+	wait.ForOrWake(ctx, wait.Jitter(d), restored)
 }
--- a/pkg/gateway/allowance.go
+++ b/pkg/gateway/allowance.go
@@ -146,7 +146,7 @@
 // controller.
 func (g *Gateway) updateAccountLevels(now time.Time) {
 	g.accounts.limiter.SetHosts(g.mesh.hosts())
-	token, c := g.election.Held(), g.config.Load()
+	token, c := g.election.HeldToken(), g.config.Load()
 	if token == 0 || c == nil || c.Accounts == nil {
 		return
 	}
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -167,7 +167,7 @@
 // recordDemand records a demand report: in the controller if this host is the controller,
 // otherwise in the totals that this host reports upstream.
 func (g *Gateway) recordDemand(now time.Time, p fleet.Pull) {
-	held := g.election.Held()
+	held := g.election.HeldToken()
 	if held == 0 {
 		if g.demandAggregator.Add(now, p.Demand, p.Heartbeat) && g.hasUnplacedDemand(p.Demand) {
 			g.requestReport()
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -183,7 +183,7 @@
 	released := g.self
 	released.Released = true
 	for ctx.Err() == nil && g.Now().Before(end) {
-		held := g.election.Held()
+		held := g.election.HeldToken()
 		if held == 0 {
 			return
 		}
@@ -194,5 +194,5 @@
 		}
 		wait.For(ctx, releaseRetryDelay)
 	}
-	g.log.Info("claim not released; it expires", "token", g.election.Held())
+	g.log.Info("claim not released; it expires", "token", g.election.HeldToken())
 }
--- a/pkg/gateway/claim_test.go
+++ b/pkg/gateway/claim_test.go
@@ -30,7 +30,7 @@
 	for _, c := range []struct {
 		name   string
 		during func(g *Gateway)
-		heard  bool
+		alive  bool
 		ends   []int64
 	}{
 		{"no other claim", func(*Gateway) {}, false, []int64{7}},
@@ -52,7 +52,7 @@
 				g.mesh.setClaimsNext(7)
 				g.challenge(t.Context(), func(context.Context) bool {
 					c.during(g)
-					return c.heard
+					return c.alive
 				})
 				is.Equal(store.ends, c.ends)
 			})
--- a/pkg/gateway/control.go
+++ b/pkg/gateway/control.go
@@ -74,7 +74,7 @@
 	if allowed {
 		msg = "orders resumed"
 	}
-	g.log.Info(msg, "token", g.election.Held(), "list_age_ms", g.listAge(g.Now()).Milliseconds(), "hosts", g.mesh.hosts())
+	g.log.Info(msg, "token", g.election.HeldToken(), "list_age_ms", g.listAge(g.Now()).Milliseconds(), "hosts", g.mesh.hosts())
 }
 
 // listAge returns the time since the store last answered a read of the list of endpoints.
--- a/pkg/gateway/crashstore.go
+++ b/pkg/gateway/crashstore.go
@@ -189,7 +189,7 @@
 	every(ctx, crashStoreInterval, func() {
 		now := g.Now()
 		g.storedCrashes.prune(now)
-		if g.election.Held() != 0 {
+		if g.election.HeldToken() != 0 {
 			g.removeStaleRecords(ctx)
 		}
 		if !schedule.update(now, g.guard.CrashLog.Version(), g.guard.Blocklist.Version()) {
@@ -232,7 +232,7 @@
 
 // recordsToWrite returns up to maxRecordsPerWrite records that this host must write.
 func (g *Gateway) recordsToWrite(now time.Time, backup bool) []crashRecord {
-	isController, isolated := g.election.Held() != 0, g.notices.age(now) > isolationTimeout
+	isController, isolated := g.election.HeldToken() != 0, g.notices.age(now) > isolationTimeout
 	byContent := map[uint64]crashRecord{}
 	if isController || isolated {
 		minCrashes := minStoredCrashes
--- a/pkg/gateway/export_test.go
+++ b/pkg/gateway/export_test.go
@@ -10,7 +10,7 @@
 func (g *Gateway) ReadinessAddr() string { return g.readinessListener.Addr().String() }
 
 // IsController reports whether the host holds the claim.
-func (g *Gateway) IsController() bool { return g.election.Held() != 0 }
+func (g *Gateway) IsController() bool { return g.election.HeldToken() != 0 }
 
 // Peers returns the number of other known hosts.
 func (g *Gateway) Peers() int { return g.mesh.hosts() - 1 }
--- a/pkg/gateway/follow.go
+++ b/pkg/gateway/follow.go
@@ -140,7 +140,7 @@
 
 // listPollInterval returns the pause between two reads of the list of endpoints.
 func (g *Gateway) listPollInterval() time.Duration {
-	if g.election.Held() != 0 {
+	if g.election.HeldToken() != 0 {
 		return controllerListPollInterval
 	}
 	updated, confirmed := g.receivesUpdates(), g.listConfirmed()
--- a/pkg/gateway/holder_test.go
+++ b/pkg/gateway/holder_test.go
@@ -15,9 +15,9 @@
 	const token = 5
 	claim := func(token int64) *orders.Claim { return &orders.Claim{Token: token} }
 	for _, c := range []struct {
-		name   string
-		answer peer.Response
-		ok     bool
+		name     string
+		response peer.Response
+		ok       bool
 	}{
 		{"does not know the caller", peer.Response{}, false},
 		{"knows an older claim", peer.Response{Claim: claim(token - 1), HolderHeartbeatAge: 10}, false},
@@ -28,9 +28,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			ago, ok := holderHeartbeatAge(c.answer, token)
+			ago, ok := holderHeartbeatAge(c.response, token)
 			is.Equal(ok, c.ok)
-			is.True(!ok || ago == time.Duration(c.answer.HolderHeartbeatAge)*time.Millisecond)
+			is.True(!ok || ago == time.Duration(c.response.HolderHeartbeatAge)*time.Millisecond)
 		})
 	}
 }
--- a/pkg/gateway/peerhandler.go
+++ b/pkg/gateway/peerhandler.go
@@ -33,7 +33,7 @@
 	}
 	claim := g.election.Newest()
 	response.Claim = &claim
-	response.Controlling = g.election.Held() != 0
+	response.Controlling = g.election.HeldToken() != 0
 	response.HolderHeartbeatAge = g.election.SinceHeartbeat(now).Milliseconds()
 	response.StoreAge = g.listAge(now).Milliseconds()
 	return []peer.Response{response}
--- a/pkg/gateway/pull.go
+++ b/pkg/gateway/pull.go
@@ -43,10 +43,10 @@
 	slots := make(chan struct{}, maxPulls)
 	urgent := true
 	for ctx.Err() == nil {
-		if g.election.Held() != 0 {
+		if g.election.HeldToken() != 0 {
 			g.controller.Report(g.Now(), g.demandReport(g.Now()))
 			trySend(g.stepNow)
-			wait.Or(ctx, maxReportInterval, g.reportNow)
+			wait.ForOrWake(ctx, maxReportInterval, g.reportNow)
 			wait.For(ctx, minReportInterval)
 			continue
 		}
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -42,7 +42,7 @@
 // crashes; a host that receives no updates decides by what it knows.
 func (g *Gateway) updateBlocks(now time.Time) {
 	g.guard.UpdateTrials(now)
-	isController := g.election.Held() != 0
+	isController := g.election.HeldToken() != 0
 	if !isController && g.notices.recent(now) {
 		return
 	}
@@ -110,7 +110,7 @@
 
 // mergeCrashes merges the crashes and blocks of a pull.
 func (g *Gateway) mergeCrashes(now time.Time, p fleet.Pull) {
-	if g.guard.CrashLog.Add(now, p.Crashes) && g.election.Held() == 0 {
+	if g.guard.CrashLog.Add(now, p.Crashes) && g.election.HeldToken() == 0 {
 		g.requestReport()
 	}
 	g.mergeBlocks(now, p.Blocks)
--- a/pkg/gateway/signals.go
+++ b/pkg/gateway/signals.go
@@ -57,10 +57,10 @@
 type callKind string
 
 const (
-	callOrder  callKind = "order"
-	callReport callKind = "report"
-	callRun    callKind = "run"
-	callEnded  callKind = "ended"
+	callOrder      callKind = "order"
+	callReport     callKind = "report"
+	callRun        callKind = "run"
+	callTerminated callKind = "ended"
 )
 
 // allowCall counts a call. It returns orders.ErrRateLimited if the endpoint's rate limit, or a
@@ -107,7 +107,7 @@
 
 // Terminated reports whether an incarnation of an endpoint has terminated.
 func (l rateLimitedEndpoints) Terminated(ctx context.Context, e fleet.Endpoint) (bool, error) {
-	if err := l.allow(callEnded, e); err != nil {
+	if err := l.allow(callTerminated, e); err != nil {
 		return false, err
 	}
 	return l.EndpointClient.Terminated(ctx, e)
--- a/pkg/gateway/stamp.go
+++ b/pkg/gateway/stamp.go
@@ -13,7 +13,7 @@
 // stampFor returns the stamp to pass on for the holder of a token: this host's own if it is the
 // holder, otherwise the last one received. It returns 0 if there is none.
 func (g *Gateway) stampFor(now time.Time, token int64) int64 {
-	if held := g.election.Held(); held != 0 && held == token {
+	if held := g.election.HeldToken(); held != 0 && held == token {
 		return now.Sub(g.started).Milliseconds()
 	}
 	return g.stampOf(token)
--- a/pkg/idempotency/claims.go
+++ b/pkg/idempotency/claims.go
@@ -258,7 +258,7 @@
 // append appends one batch and reports whether it was committed. It retries with the same
 // record until it succeeds or ctx is done.
 func (l *Claims) append(ctx context.Context, batch []*operation) bool {
-	d := record.Dispatch{Holder: l.self}
+	d := record.KeyBatch{Holder: l.self}
 	for _, op := range batch {
 		switch {
 		case op.claim != nil:
@@ -269,7 +269,7 @@
 			d.Releases = append(d.Releases, *op.release)
 		}
 	}
-	r := record.Record{ID: record.NewID(), Dispatch: &d}
+	r := record.Record{ID: record.NewID(), KeyBatch: &d}
 	for {
 		_, err := l.appender.Append(ctx, r)
 		if ctx.Err() != nil {
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -178,8 +178,8 @@
 	return m.host.Incarnation
 }
 
-// Service returns the endpoints of a plain service that may get new requests.
-func (t *Tracker) Service(name string) []external.ListedHost {
+// ServiceEndpoints returns the endpoints of a plain service that may get new requests.
+func (t *Tracker) ServiceEndpoints(name string) []external.ListedHost {
 	var hosts []external.ListedHost
 	for _, endpoint := range slices.Sorted(maps.Keys(t.members)) {
 		m := t.members[endpoint]
--- a/pkg/openai/completions.go
+++ b/pkg/openai/completions.go
@@ -21,7 +21,7 @@
 }
 
 // start validates a completion request and starts it.
-func (h Handler) start(ctx context.Context, in generateRequest) (*completion.Answer, *completion.Refusal) {
+func (h Handler) start(ctx context.Context, in generateRequest) (*completion.Stream, *completion.Refusal) {
 	entry, m, refusal := findModel(ctx, in.model, false)
 	if refusal != nil {
 		return nil, refusal
@@ -58,21 +58,21 @@
 }
 
 // eventEncoder encodes a started completion as an event stream.
-type eventEncoder func(*completion.Answer) (io.ReadCloser, *completion.Refusal)
+type eventEncoder func(*completion.Stream) (io.ReadCloser, *completion.Refusal)
 
 // generate runs a completion. If stream is set, it returns an event stream that
 // encode produces, and the complete result otherwise.
 func (h Handler) generate(ctx context.Context, in generateRequest, stream bool, encode eventEncoder) (io.ReadCloser, result, *completion.Refusal) {
-	answer, refusal := h.start(ctx, in)
+	tokenStream, refusal := h.start(ctx, in)
 	if refusal != nil {
 		return nil, result{}, refusal
 	}
 	if stream {
-		body, refusal := encode(answer)
+		body, refusal := encode(tokenStream)
 		return body, result{}, refusal
 	}
-	out := result{id: answer.Call.RequestID}
-	out.text, out.tokens, out.reason, refusal = answer.Collect()
+	out := result{id: tokenStream.Call.RequestID}
+	out.text, out.tokens, out.reason, refusal = tokenStream.Collect()
 	return nil, out, refusal
 }
 
--- a/pkg/openai/deferred.go
+++ b/pkg/openai/deferred.go
@@ -54,16 +54,16 @@
 	if r.Answer == nil {
 		return out, nil
 	}
-	var answer completion.DeferredAnswer
-	if err := json.Unmarshal(r.Answer.Body, &answer); err != nil {
+	var stored completion.DeferredResult
+	if err := json.Unmarshal(r.Answer.Body, &stored); err != nil {
 		return nil, errors.Wrap(err, "decode the recorded response")
 	}
 	if r.Answer.Status != http.StatusOK {
 		out.Status = callers.DeferredStatusFailed
-		out.Error.SetTo(callers.ErrorDetail{Code: callers.ErrorDetailCodeOutcomeUnknown, Message: answer.Error})
+		out.Error.SetTo(callers.ErrorDetail{Code: callers.ErrorDetailCodeOutcomeUnknown, Message: stored.Error})
 		return out, nil
 	}
 	out.Status = callers.DeferredStatusDone
-	out.Answer.SetTo(newCompletion(r.ID, r.Model, h.Host.Now(), answer.Text, answer.Tokens, answer.Reason))
+	out.Answer.SetTo(newCompletion(r.ID, r.Model, h.Host.Now(), stored.Text, stored.Tokens, stored.Reason))
 	return out, nil
 }
--- a/pkg/openai/events.go
+++ b/pkg/openai/events.go
@@ -53,35 +53,35 @@
 }
 
 // Chat returns the event stream of a chat completion.
-func (h Handler) Chat(answer *completion.Answer) (io.ReadCloser, *completion.Refusal) {
-	return h.eventStream(answer, chatChunk)
+func (h Handler) Chat(tokenStream *completion.Stream) (io.ReadCloser, *completion.Refusal) {
+	return h.eventStream(tokenStream, chatChunk)
 }
 
 // Text returns the event stream of a text completion.
-func (h Handler) Text(answer *completion.Answer) (io.ReadCloser, *completion.Refusal) {
-	return h.eventStream(answer, textChunk)
+func (h Handler) Text(tokenStream *completion.Stream) (io.ReadCloser, *completion.Refusal) {
+	return h.eventStream(tokenStream, textChunk)
 }
 
 // eventStream encodes a completion as an event stream. It blocks until the first
 // token arrives, so that an earlier failure is returned as a refusal. A stream
 // that breaks later ends with an error event and without the end marker.
-func (h Handler) eventStream(answer *completion.Answer, encode func(external.Token) (string, chunkChoice)) (io.ReadCloser, *completion.Refusal) {
-	first, refusal := answer.Next()
+func (h Handler) eventStream(tokenStream *completion.Stream, encode func(external.Token) (string, chunkChoice)) (io.ReadCloser, *completion.Refusal) {
+	first, refusal := tokenStream.Next()
 	if refusal != nil {
-		answer.Close()
+		tokenStream.Close()
 		return nil, refusal
 	}
 	reader, writer := io.Pipe()
-	w := &eventWriter{answer: answer, encode: encode, out: writer}
+	w := &eventWriter{tokenStream: tokenStream, encode: encode, out: writer}
 	h.Runner.Go(func() { w.run(first) })
 	return reader, nil
 }
 
 // eventWriter writes the tokens of a completion to a pipe as events.
 type eventWriter struct {
-	answer *completion.Answer
-	encode func(external.Token) (string, chunkChoice)
-	out    *io.PipeWriter
+	tokenStream *completion.Stream
+	encode      func(external.Token) (string, chunkChoice)
+	out         *io.PipeWriter
 	// closed is set after a write or encoding fails. Later writes are dropped.
 	closed bool
 }
@@ -91,17 +91,17 @@
 // key, so that the complete response is recorded.
 func (w *eventWriter) run(token external.Token) {
 	defer w.out.Close()
-	defer w.answer.Close()
+	defer w.tokenStream.Close()
 	for {
 		w.writeToken(token)
 		if token.Done {
 			w.write(StreamEnd)
 			return
 		}
-		if w.closed && w.answer.Call.Key == nil {
+		if w.closed && w.tokenStream.Call.Key == nil {
 			return
 		}
-		next, refusal := w.answer.Next()
+		next, refusal := w.tokenStream.Next()
 		if refusal != nil {
 			w.writeError(refusal)
 			return
@@ -116,10 +116,10 @@
 		choice.FinishReason = &t.Reason
 	}
 	w.writeEvent(chunk{
-		ID:      w.answer.Call.RequestID,
+		ID:      w.tokenStream.Call.RequestID,
 		Object:  object,
-		Created: w.answer.Started.Unix(),
-		Model:   w.answer.Call.Model.Name,
+		Created: w.tokenStream.Started.Unix(),
+		Model:   w.tokenStream.Call.Model.Name,
 		Choices: []chunkChoice{choice},
 	})
 }
--- a/pkg/orders/claim.go
+++ b/pkg/orders/claim.go
@@ -222,8 +222,8 @@
 	return b
 }
 
-// Token returns the token for orders sent now, or 0 if this host must not send any.
-func (e *Election) Token(now time.Time) int64 {
+// OrderToken returns the token for orders sent now, or 0 if this host must not send any.
+func (e *Election) OrderToken(now time.Time) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.held == 0 || e.needsConfirm || now.Before(e.ordersFrom) {
@@ -232,8 +232,8 @@
 	return e.held
 }
 
-// Held returns the token of this host's claim, or 0. Orders must use Token instead.
-func (e *Election) Held() int64 {
+// HeldToken returns the token of this host's claim, or 0. Orders must use Token instead.
+func (e *Election) HeldToken() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.held
--- a/pkg/orders/claim_test.go
+++ b/pkg/orders/claim_test.go
@@ -32,8 +32,8 @@
 	is.True(!e.ShouldClaim(at(2 * time.Second))) // last heartbeat one second ago
 	is.True(e.ShouldClaim(at(2500 * time.Millisecond)))
 	e.ClaimAppended(at(2500*time.Millisecond), 2)
-	is.Equal(e.Token(at(3900*time.Millisecond)), int64(0))
-	is.Equal(e.Token(at(4*time.Second)), int64(2))
+	is.Equal(e.OrderToken(at(3900*time.Millisecond)), int64(0))
+	is.Equal(e.OrderToken(at(4*time.Second)), int64(2))
 }
 
 // Guards against waiting for the lease of a holder that has released its claim.
@@ -45,7 +45,7 @@
 	e.Observe(at(0), orders.Claim{Holder: released, Token: 5})
 	is.True(e.ShouldClaim(at(0)))
 	e.ClaimAppended(at(0), 6)
-	is.Equal(e.Token(at(0)), int64(6))
+	is.Equal(e.OrderToken(at(0)), int64(6))
 }
 
 // Guards against waiting for the lease of a holder that has restarted, as when all hosts
@@ -59,7 +59,7 @@
 	e.RecordRestart("a", "a-2")
 	is.True(e.ShouldClaim(at(time.Second)))
 	e.ClaimAppended(at(time.Second), 6)
-	is.Equal(e.Token(at(time.Second)), int64(6))
+	is.Equal(e.OrderToken(at(time.Second)), int64(6))
 	// The same incarnation is still the holder.
 	f := election("b")
 	f.Observe(at(0), orders.Claim{Holder: holder("a"), Token: 5})
@@ -85,13 +85,13 @@
 	e.CaughtUp()
 	e.ClaimAppended(at(0), 1)
 	e.CheckSuspend(time.Second)
-	is.Equal(e.Token(at(time.Second)), int64(1))
+	is.Equal(e.OrderToken(at(time.Second)), int64(1))
 	is.True(e.CheckSuspend(6 * time.Second)) // suspended for five seconds
-	is.Equal(e.Token(at(time.Second)), int64(0))
+	is.Equal(e.OrderToken(at(time.Second)), int64(0))
 	e.Observe(at(time.Second), orders.Claim{Holder: holder("b"), Token: 2})
 	e.CaughtUp()
-	is.Equal(e.Token(at(time.Minute)), int64(0))
-	is.Equal(e.Held(), int64(0))
+	is.Equal(e.OrderToken(at(time.Minute)), int64(0))
+	is.Equal(e.HeldToken(), int64(0))
 }
 
 // Guards against reusing a token that an endpoint has rejected, also after the claim is
@@ -104,7 +104,7 @@
 	e.Relinquish(7)
 	e.Observe(at(time.Second), orders.Claim{Holder: holder("a"), Token: 7})
 	e.CaughtUp()
-	is.Equal(e.Token(at(time.Minute)), int64(0))
+	is.Equal(e.OrderToken(at(time.Minute)), int64(0))
 }
 
 // Guards against a host that does not recognize its own claim when the response to the
@@ -116,7 +116,7 @@
 	is.True(e.ShouldClaim(at(0)))
 	e.Observe(at(100*time.Millisecond), orders.Claim{Holder: holder("a"), Token: 3})
 	e.ClaimAppended(at(200*time.Millisecond), 3)
-	is.Equal(e.Token(at(200*time.Millisecond)), int64(3))
+	is.Equal(e.OrderToken(at(200*time.Millisecond)), int64(3))
 	is.True(!e.ShouldClaim(at(time.Minute)))
 }
 
@@ -156,7 +156,7 @@
 				hosts[i].CheckSuspend(now.Sub(start))
 			}
 			for k, h := range hosts {
-				token := h.Token(now)
+				token := h.OrderToken(now)
 				if token == 0 {
 					continue
 				}
--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -104,7 +104,7 @@
 // Step decides on swaps and starts orders. It returns the notice for other hosts, or nil
 // while this host holds no claim.
 func (c *Controller) Step(ctx context.Context, now time.Time, full bool) *fleet.Notice {
-	held := c.Election.Held()
+	held := c.Election.HeldToken()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if held != c.token || c.trackers == nil {
@@ -121,7 +121,7 @@
 		return nil
 	}
 	byService := c.syncTrackers(now, cfg)
-	if token := c.Election.Token(now); token != 0 && c.OrdersAllowed() {
+	if token := c.Election.OrderToken(now); token != 0 && c.OrdersAllowed() {
 		totals := c.demand.totals(now)
 		c.coldModels = nil
 		for _, name := range sortedKeys(byService) {
--- a/pkg/orders/controller_test.go
+++ b/pkg/orders/controller_test.go
@@ -39,7 +39,7 @@
 	cfg := config()
 	endpoint := fleet.Endpoint{ID: "e", Service: "llm", OnDisk: []string{"cold", "x", "y", "big"}}
 	for _, m := range listed {
-		endpoint.Holds = append(endpoint.Holds, fleet.Held{Model: m})
+		endpoint.Loaded = append(endpoint.Loaded, fleet.LoadedModel{Model: m})
 	}
 	return &orders.Controller{
 		Election:      el,
@@ -125,7 +125,7 @@
 		e := newEngine(130, weights, "x")
 		c := newController(e, 1, "x")
 		c.Endpoints = func(time.Time) []fleet.View {
-			return []fleet.View{{Endpoint: fleet.Endpoint{ID: "e", Service: "llm", OnDisk: []string{"x"}, Holds: []fleet.Held{{Model: "x"}}}}}
+			return []fleet.View{{Endpoint: fleet.Endpoint{ID: "e", Service: "llm", OnDisk: []string{"x"}, Loaded: []fleet.LoadedModel{{Model: "x"}}}}}
 		}
 		steps(ctx, c, 3*time.Second, waiting("cold", ""))
 		e.mu.Lock()
@@ -291,8 +291,8 @@
 			view := c.Endpoints(time.Now())[0]
 			first, second := view, view
 			first.ID, second.ID = "e1", "e2"
-			first.Holds = []fleet.Held{{Model: "cold"}}
-			second.Holds = []fleet.Held{{Model: "x"}, {Model: "y"}}
+			first.Loaded = []fleet.LoadedModel{{Model: "cold"}}
+			second.Loaded = []fleet.LoadedModel{{Model: "x"}, {Model: "y"}}
 			c.Endpoints = func(time.Time) []fleet.View { return []fleet.View{first, second} }
 			steps(ctx, c, time.Second, fleet.DemandReport{Host: "h"})
 			both["e1"].mu.Lock()
@@ -327,8 +327,8 @@
 			view := c.Endpoints(time.Now())[0]
 			first, second := view, view
 			first.ID, second.ID = "e1", "e2"
-			first.Holds = []fleet.Held{{Model: "cold"}}
-			second.Holds = []fleet.Held{{Model: "x"}, {Model: "y"}}
+			first.Loaded = []fleet.LoadedModel{{Model: "cold"}}
+			second.Loaded = []fleet.LoadedModel{{Model: "x"}, {Model: "y"}}
 			c.Endpoints = func(time.Time) []fleet.View { return []fleet.View{first, second} }
 			r := waiting("cold", "")
 			r.Needs[0].Arrived = 0
--- a/pkg/orders/endpointtracker.go
+++ b/pkg/orders/endpointtracker.go
@@ -63,7 +63,7 @@
 
 func newEndpointTracker(v fleet.View) *endpointTracker {
 	t := &endpointTracker{uncertain: noSequence, endpoint: v.Endpoint, models: map[string]*resident{}, copies: map[string]residency.Tier{}, changed: true}
-	t.replaceModels(time.Time{}, v.Holds)
+	t.replaceModels(time.Time{}, v.Loaded)
 	t.offset = v.Offset
 	t.updateCopies(time.Time{}, v.Endpoint)
 	return t
@@ -119,7 +119,7 @@
 }
 
 // replaceModels replaces the tracked models with those that the endpoint holds.
-func (t *endpointTracker) replaceModels(now time.Time, holds []fleet.Held) {
+func (t *endpointTracker) replaceModels(now time.Time, holds []fleet.LoadedModel) {
 	old := t.models
 	t.models = make(map[string]*resident, len(holds))
 	for _, h := range holds {
@@ -178,13 +178,13 @@
 	t.offset = v.Offset
 	t.endpoint = v.Endpoint
 	t.updateCopies(now, v.Endpoint)
-	if t.synced && !t.busy && now.Sub(t.lastOrder) > listLag && !sameModels(t.models, v.Holds) {
+	if t.synced && !t.busy && now.Sub(t.lastOrder) > listLag && !sameModels(t.models, v.Loaded) {
 		// The endpoint has executed orders of another holder or delayed ones.
 		t.synced = false
 	}
 }
 
-func sameModels(models map[string]*resident, holds []fleet.Held) bool {
+func sameModels(models map[string]*resident, holds []fleet.LoadedModel) bool {
 	if len(models) != len(holds) {
 		return false
 	}
@@ -209,7 +209,7 @@
 		t.retryAt = now.Add(reportLag)
 		return
 	}
-	t.replaceModels(now, r.Holds)
+	t.replaceModels(now, r.Loaded)
 	for _, name := range r.Loading {
 		model, a := splitAdapter(name)
 		if m := t.models[model]; m != nil && m.adapters[a] == nil {
--- a/pkg/orders/engine_test.go
+++ b/pkg/orders/engine_test.go
@@ -66,11 +66,11 @@
 	r := fleet.Report{Busy: e.loading != "", Sequence: e.sequence}
 	sum := 0.0
 	for m, adapters := range e.holds {
-		h := fleet.Held{Model: m}
+		h := fleet.LoadedModel{Model: m}
 		for a := range adapters {
 			h.Adapters = append(h.Adapters, a)
 		}
-		r.Holds = append(r.Holds, h)
+		r.Loaded = append(r.Loaded, h)
 		sum += e.weights[m]
 	}
 	sum += e.weights[e.loading]
--- a/pkg/orders/holderlease_test.go
+++ b/pkg/orders/holderlease_test.go
@@ -14,26 +14,26 @@
 // acknowledgment.
 func TestHolderLeaseWithoutStore(t *testing.T) {
 	const longAgo = time.Hour
-	answer := func(host string, sent time.Duration, token int64, storeAge time.Duration) orders.NoticeResponse {
+	response := func(host string, sent time.Duration, token int64, storeAge time.Duration) orders.NoticeResponse {
 		return orders.NoticeResponse{Host: host, Sent: at(sent), Token: token, StoreAge: storeAge}
 	}
 	for _, c := range []struct {
-		name     string
-		answers  []orders.NoticeResponse
-		unknown  bool
-		now      time.Duration
-		storeAge time.Duration
-		may      bool
+		name      string
+		responses []orders.NoticeResponse
+		unknown   bool
+		now       time.Duration
+		storeAge  time.Duration
+		may       bool
 	}{
 		{name: "store read recently", now: time.Second, storeAge: time.Second, may: true},
 		{name: "no acknowledgment", now: time.Second, storeAge: longAgo},
-		{name: "acknowledged by all hosts", answers: []orders.NoticeResponse{answer("b", 0, 1, longAgo), answer("c", 100*time.Millisecond, 1, longAgo)}, now: 2 * time.Second, storeAge: longAgo, may: true},
-		{name: "one host missing", answers: []orders.NoticeResponse{answer("b", 0, 1, longAgo)}, now: time.Second, storeAge: longAgo},
-		{name: "one acknowledgment expired", answers: []orders.NoticeResponse{answer("b", 0, 1, longAgo), answer("c", 2*time.Second, 1, longAgo)}, now: 3 * time.Second, storeAge: longAgo},
-		{name: "one host knows a newer claim", answers: []orders.NoticeResponse{answer("b", 0, 1, longAgo), answer("c", 0, 2, longAgo)}, now: time.Second, storeAge: longAgo},
-		{name: "message from an unknown host", answers: []orders.NoticeResponse{answer("b", 0, 1, longAgo), answer("c", 0, 1, longAgo)}, unknown: true, now: time.Second, storeAge: longAgo},
-		{name: "store read recently by another host", answers: []orders.NoticeResponse{answer("b", 0, 1, time.Second)}, now: 400 * time.Millisecond, storeAge: longAgo, may: true},
-		{name: "store read by another host expired", answers: []orders.NoticeResponse{answer("b", 0, 1, time.Second)}, now: 600 * time.Millisecond, storeAge: longAgo},
+		{name: "acknowledged by all hosts", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo), response("c", 100*time.Millisecond, 1, longAgo)}, now: 2 * time.Second, storeAge: longAgo, may: true},
+		{name: "one host missing", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo)}, now: time.Second, storeAge: longAgo},
+		{name: "one acknowledgment expired", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo), response("c", 2*time.Second, 1, longAgo)}, now: 3 * time.Second, storeAge: longAgo},
+		{name: "one host knows a newer claim", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo), response("c", 0, 2, longAgo)}, now: time.Second, storeAge: longAgo},
+		{name: "message from an unknown host", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo), response("c", 0, 1, longAgo)}, unknown: true, now: time.Second, storeAge: longAgo},
+		{name: "store read recently by another host", responses: []orders.NoticeResponse{response("b", 0, 1, time.Second)}, now: 400 * time.Millisecond, storeAge: longAgo, may: true},
+		{name: "store read by another host expired", responses: []orders.NoticeResponse{response("b", 0, 1, time.Second)}, now: 600 * time.Millisecond, storeAge: longAgo},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -41,7 +41,7 @@
 			if c.unknown {
 				l.RecordUnknownHost(at(0))
 			}
-			for _, a := range c.answers {
+			for _, a := range c.responses {
 				l.RecordAck(1, a)
 			}
 			is.Equal(l.Valid(at(c.now), 1, c.storeAge, []string{"b", "c"}), c.may)
@@ -135,7 +135,7 @@
 		if h.election.ShouldClaim(w.now) && (h.election.Vacant() || !w.heardElsewhere(h)) {
 			w.claimNow(h)
 		}
-		if held := h.election.Held(); held != h.held {
+		if held := h.election.HeldToken(); held != h.held {
 			h.held, h.won = held, w.now
 		}
 		if h.held != 0 && w.ticks%noticeEvery == 0 {
@@ -185,7 +185,7 @@
 			others = append(others, p.name)
 		}
 	}
-	token := h.election.Token(w.now)
+	token := h.election.OrderToken(w.now)
 	if token == 0 || w.now.Sub(h.won) < warmup || !h.lease.Valid(w.now, token, w.now.Sub(h.storeRead), others) {
 		return
 	}
--- a/pkg/orders/send.go
+++ b/pkg/orders/send.go
@@ -22,7 +22,7 @@
 	s := outgoingOrder{order: o}
 	deadline := c.Now().Add(conflictTimeout)
 	state := pending
-	for state == pending && c.Now().Before(deadline) && ctx.Err() == nil && c.Election.Token(c.Now()) == token && c.OrdersAllowed() {
+	for state == pending && c.Now().Before(deadline) && ctx.Err() == nil && c.Election.OrderToken(c.Now()) == token && c.OrdersAllowed() {
 		state = c.sendOnce(ctx, t, &s)
 	}
 	if state != accepted && s.unanswered {
--- a/pkg/orders/swap.go
+++ b/pkg/orders/swap.go
@@ -72,7 +72,7 @@
 		current := t.models[model] == r && !r.unloading
 		e := t.endpoint
 		t.mu.Unlock()
-		if !current || c.Election.Held() == 0 {
+		if !current || c.Election.HeldToken() == 0 {
 			return false
 		}
 		report, err := c.report(ctx, e)
@@ -92,7 +92,7 @@
 }
 
 func holds(r fleet.Report, model string) bool {
-	return slices.ContainsFunc(r.Holds, func(h fleet.Held) bool { return h.Model == model })
+	return slices.ContainsFunc(r.Loaded, func(h fleet.LoadedModel) bool { return h.Model == model })
 }
 
 func (c *Controller) report(ctx context.Context, e fleet.Endpoint) (fleet.Report, error) {
--- a/pkg/quarantine/checker.go
+++ b/pkg/quarantine/checker.go
@@ -118,11 +118,11 @@
 func (c *checker) checkUntilKnown(e fleet.Endpoint) {
 	ctx := context.Background()
 	for confirmed := 0; c.cfg.Now().Sub(c.suspectedSince(e.ID)) < checkTimeout; wait.For(ctx, checkInterval) {
-		ended, err := c.checkOnce(ctx, e)
+		terminated, err := c.checkOnce(ctx, e)
 		switch {
 		case err != nil:
 			continue // The result is unknown; check again.
-		case !ended:
+		case !terminated:
 			confirmed = 0
 			c.runs.RecordAlive(c.cfg.Now(), e.ID)
 			if c.recordAlive(e.ID) {
--- a/pkg/quarantine/crashlog.go
+++ b/pkg/quarantine/crashlog.go
@@ -276,8 +276,8 @@
 func (l *CrashLog) remove(e *endpointCrash) {
 	delete(l.crashes, e.id)
 	for content := range e.requests {
-		ends, copies := e.contribution(content)
-		l.adjustCounts(content, -ends, -copies)
+		crashes, copies := e.contribution(content)
+		l.adjustCounts(content, -crashes, -copies)
 	}
 }
 
@@ -353,7 +353,7 @@
 
 // Attributed returns the crash reports of each content that has crashes attributed to it, if
 // include returns true for the number of these.
-func (l *CrashLog) Attributed(now time.Time, include func(content uint64, ends int) bool) map[uint64][]fleet.CrashReport {
+func (l *CrashLog) Attributed(now time.Time, include func(content uint64, crashes int) bool) map[uint64][]fleet.CrashReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	groups := groupByTime(l.sortedCrashes())
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -43,12 +43,12 @@
 	cfg       Config
 	checker   *checker
 	probes    *probes
-	answers   *recentAnswers
+	responses *recentResponses
 }
 
 // NewGuard returns a guard that blocks nothing.
 func NewGuard(cfg Config) *Guard {
-	g := &Guard{CrashLog: NewCrashLog(), Blocklist: NewBlocklist(), cfg: cfg, probes: newProbes(), answers: newRecentAnswers()}
+	g := &Guard{CrashLog: NewCrashLog(), Blocklist: NewBlocklist(), cfg: cfg, probes: newProbes(), responses: newRecentResponses()}
 	g.checker = newChecker(cfg, g.addDetected)
 	return g
 }
@@ -67,7 +67,7 @@
 	for _, harmless := range g.checker.runs.RecordServed(now, e.ID, f) {
 		g.CrashLog.Clear(harmless)
 	}
-	g.answers.add(now, f.Content, answer{endpoint: e, sentAt: sentAt, answeredAt: now})
+	g.responses.add(now, f.Content, response{endpoint: e, sentAt: sentAt, completedAt: now})
 }
 
 // Suspected implements serve.Guard.
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -20,8 +20,8 @@
 
 // checkResult is the result of one check of an endpoint.
 type checkResult struct {
-	ended bool
-	err   error
+	terminated bool
+	err        error
 }
 
 // newTestGuard returns a guard whose endpoint checks return the given results, the last one
@@ -34,7 +34,7 @@
 			if len(results) > 1 {
 				results = results[1:]
 			}
-			return l.ended, l.err
+			return l.terminated, l.err
 		},
 		ShutdownAnnounced: func(fleet.EndpointID) bool { return announced },
 		OnCrash:           func([]fleet.CrashReport) { reports.Add(1) },
@@ -53,13 +53,13 @@
 		results   []checkResult
 		want      int
 	}{
-		{"it has crashed", false, []checkResult{{ended: true}}, 1},
-		{"its process takes a moment to end", false, []checkResult{{}, {ended: true}}, 1},
-		{"packets are lost", false, []checkResult{{err: errTimeout}, {ended: true}}, 1},
+		{"it has crashed", false, []checkResult{{terminated: true}}, 1},
+		{"its process takes a moment to end", false, []checkResult{{}, {terminated: true}}, 1},
+		{"packets are lost", false, []checkResult{{err: errTimeout}, {terminated: true}}, 1},
 		{"it lives", false, []checkResult{{}}, 0},
-		{"it refuses one connection too many", false, []checkResult{{ended: true}, {}}, 0},
+		{"it refuses one connection too many", false, []checkResult{{terminated: true}, {}}, 0},
 		{"it is cut off", false, []checkResult{{err: errTimeout}}, 0},
-		{"it has announced its end", true, []checkResult{{ended: true}}, 0},
+		{"it has announced its end", true, []checkResult{{terminated: true}}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -109,7 +109,7 @@
 func TestAllRequestsRunningAtCrashAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, _ := newTestGuard(false, checkResult{ended: true})
+		g, _ := newTestGuard(false, checkResult{terminated: true})
 		e := fleet.Endpoint{ID: "e"}
 		g.RecordBroken(e, requestsBy(client, 4)[0], 1, false)
 		time.Sleep(time.Second)
@@ -130,12 +130,12 @@
 	})
 }
 
-// The client disconnects just before its request crashes the endpoint, so no answer breaks off. The
+// The client disconnects just before its request crashes the endpoint, so no response breaks off. The
 // crash must be detected when the next connection is refused.
 func TestCrashAfterClientDisconnectIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, reports := newTestGuard(false, checkResult{ended: true})
+		g, reports := newTestGuard(false, checkResult{terminated: true})
 		e := fleet.Endpoint{ID: "e"}
 		g.RecordUnreachable(e) // no run at this endpoint yet
 		time.Sleep(time.Second)
@@ -153,12 +153,12 @@
 	})
 }
 
-// An endpoint crashes just after it has answered the harmful request completely. The answer must
+// An endpoint crashes just after it has answered the harmful request completely. The response must
 // not clear the request.
-func TestAnswerJustBeforeCrashDoesNotClear(t *testing.T) {
+func TestResponseJustBeforeCrashDoesNotClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, reports := newTestGuard(false, checkResult{ended: true})
+		g, reports := newTestGuard(false, checkResult{terminated: true})
 		e := fleet.Endpoint{ID: "e"}
 		g.RecordServed(e, requestsBy(client, 4)[0], time.Now())
 		time.Sleep(600 * time.Millisecond)
@@ -171,16 +171,16 @@
 		is.Equal(len(crashes), 2) // the request that was answered long before is not reported
 		g.RecordServed(e, requestsBy(client, other)[0], time.Now())
 		crashes, _ = g.CrashLog.Since(time.Now(), 0, 10)
-		is.Equal(len(crashes), 2) // a later answer does not clear them
+		is.Equal(len(crashes), 2) // a later response does not clear them
 	})
 }
 
 // The fourth endpoint answers the harmful request and a moment later another one, and then crashes.
-// The second answer must not clear the harmful request.
-func TestOtherAnswerJustBeforeCrashDoesNotClear(t *testing.T) {
+// The second response must not clear the harmful request.
+func TestOtherResponseJustBeforeCrashDoesNotClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, _ := newTestGuard(false, checkResult{ended: true})
+		g, _ := newTestGuard(false, checkResult{terminated: true})
 		f := requestsBy(client, harmful)[0]
 		for i := range 3 {
 			g.CrashLog.Add(time.Now(), crashReports(i, testCrash{requests: []fleet.Fingerprint{f}}))
@@ -200,7 +200,7 @@
 func TestRunBrokenBeforeAliveCheckIsNotReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g, _ := newTestGuard(false, checkResult{}, checkResult{}, checkResult{}, checkResult{ended: true})
+		g, _ := newTestGuard(false, checkResult{}, checkResult{}, checkResult{}, checkResult{terminated: true})
 		e := fleet.Endpoint{ID: "e"}
 		g.RecordBroken(e, requestsBy(client, innocent)[0], 1, true)
 		time.Sleep(600 * time.Millisecond)
@@ -253,7 +253,7 @@
 // A request that was running at two crashes is put on trial for all callers and is not blocked.
 func TestTwoCrashesStartTrial(t *testing.T) {
 	is := is.New(t)
-	g, _ := newTestGuard(false, checkResult{ended: true})
+	g, _ := newTestGuard(false, checkResult{terminated: true})
 	for i := range 2 {
 		is.True(!g.Suspected(requestsBy(client, harmful)[0]))
 		g.CrashLog.Add(start(), crashReports(i, testCrash{requests: requestsBy(client, harmful)}))
@@ -279,7 +279,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				g, _ := newTestGuard(false, checkResult{ended: true})
+				g, _ := newTestGuard(false, checkResult{terminated: true})
 				f := requestsBy(client, innocent)[0]
 				serveAndSurvive := func() {
 					e := fleet.Endpoint{ID: "lives"}
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -75,7 +75,7 @@
 
 // waitForChange blocks until changes is closed and reports whether that was before the deadline.
 func (g *Guard) waitForChange(ctx context.Context, changes <-chan struct{}, deadline time.Time) bool {
-	return !wait.Or(ctx, deadline.Sub(g.cfg.Now()), changes) && ctx.Err() == nil
+	return !wait.ForOrWake(ctx, deadline.Sub(g.cfg.Now()), changes) && ctx.Err() == nil
 }
 
 // probe is the one copy of a suspect that may run at this host. It implements serve.Probe.
@@ -163,8 +163,8 @@
 	}
 }
 
-// staysAlive reports whether the endpoint is still alive some time after an answer, since a crash
-// may show only after the answer.
+// staysAlive reports whether the endpoint is still alive some time after a response, since a crash
+// may show only after the response.
 func (g *Guard) staysAlive(e fleet.Endpoint) bool {
 	wait.For(context.Background(), servedWindow)
 	return g.isAlive(e)
@@ -172,8 +172,8 @@
 
 // isAlive reports whether the endpoint is known to be alive.
 func (g *Guard) isAlive(e fleet.Endpoint) bool {
-	ended, err := g.checker.checkOnce(context.Background(), e)
-	return err == nil && !ended
+	terminated, err := g.checker.checkOnce(context.Background(), e)
+	return err == nil && !terminated
 }
 
 // Grant grants one copy in each trial whose last crash has been evaluated, and revokes expired
--- a/pkg/quarantine/runs.go
+++ b/pkg/quarantine/runs.go
@@ -14,9 +14,9 @@
 	// request is refused a connection.
 	brokenWindow = time.Second
 	// servedWindow is how long before a crash the cause may have been answered completely: the
-	// answer may be complete before the endpoint crashes.
+	// response may be complete before the endpoint crashes.
 	servedWindow = 300 * time.Millisecond
-	// survivalTime is how long after its answer a request is cleared if the endpoint still serves
+	// survivalTime is how long after its response a request is cleared if the endpoint still serves
 	// others.
 	survivalTime = time.Second
 	// exitDelay is how long before the endpoint was found alive a run must have broken off to be
@@ -80,7 +80,7 @@
 	return b
 }
 
-// RecordServed records a complete answer. It returns the requests that this clears: those answered at
+// RecordServed records a complete response. It returns the requests that this clears: those answered at
 // least survivalTime ago by the same endpoint.
 func (r *RecentRuns) RecordServed(now time.Time, id fleet.EndpointID, f fleet.Fingerprint) []fleet.Fingerprint {
 	r.mu.Lock()
--- a/pkg/record/bench_test.go
+++ b/pkg/record/bench_test.go
@@ -14,8 +14,8 @@
 	replica := record.ReplicaID(record.NewID())
 	for name, r := range map[string]record.Record{
 		"renew":   {Renew: &record.SessionRenew{HostRef: ref}},
-		"claim":   {Dispatch: &record.Dispatch{Holder: ref, Claims: []record.KeyClaim{{Key: key, Digest: 1 << 60}}}},
-		"outcome": {Dispatch: &record.Dispatch{Holder: ref, Outcomes: []record.KeyOutcome{{Key: key, Status: 200, Body: make([]byte, 100)}}}},
+		"claim":   {KeyBatch: &record.KeyBatch{Holder: ref, Claims: []record.KeyClaim{{Key: key, Digest: 1 << 60}}}},
+		"outcome": {KeyBatch: &record.KeyBatch{Holder: ref, Outcomes: []record.KeyOutcome{{Key: key, Status: 200, Body: make([]byte, 100)}}}},
 		"place": {Plan: &record.Plan{Pool: "pool-12", Epoch: 1 << 30, Seq: 1000, Decisions: []record.Decision{
 			{Place: &record.Place{Replica: replica, Customer: "customer-12", Model: "model-1234", Endpoint: "endpoint-1234"}},
 		}}},
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -48,7 +48,7 @@
 	Handover *Handover         `cbor:"8,keyasint,omitempty"`
 	Quiesced *Quiesced         `cbor:"9,keyasint,omitempty"`
 	Plan     *Plan             `cbor:"10,keyasint,omitempty"`
-	Dispatch *Dispatch         `cbor:"11,keyasint,omitempty"`
+	KeyBatch *KeyBatch         `cbor:"11,keyasint,omitempty"`
 	Horizon  *KeyHorizon       `cbor:"12,keyasint,omitempty"`
 	Snapshot *Snapshot         `cbor:"13,keyasint,omitempty"`
 	Defer    *DeferredRequest  `cbor:"14,keyasint,omitempty"`
@@ -189,8 +189,8 @@
 	return time.Unix(id.Time().UnixTime()), true
 }
 
-// Dispatch is a batch of key claims, outcomes and releases of one host.
-type Dispatch struct {
+// KeyBatch is a batch of key claims, outcomes and releases of one host.
+type KeyBatch struct {
 	Holder   HostRef      `cbor:"1,keyasint"`
 	Claims   []KeyClaim   `cbor:"2,keyasint,omitempty"`
 	Outcomes []KeyOutcome `cbor:"3,keyasint,omitempty"`
--- a/pkg/record/record_test.go
+++ b/pkg/record/record_test.go
@@ -13,7 +13,7 @@
 	for _, r := range []record.Record{
 		{Renew: &record.SessionRenew{HostRef: record.HostRef{Host: "h"}}},
 		{Plan: &record.Plan{Pool: "p", Decisions: []record.Decision{{Place: &record.Place{Replica: "r"}}}}},
-		{Dispatch: &record.Dispatch{Claims: []record.KeyClaim{{Key: record.Key{Customer: "c", Value: "v"}}}}},
+		{KeyBatch: &record.KeyBatch{Claims: []record.KeyClaim{{Key: record.Key{Customer: "c", Value: "v"}}}}},
 		{Snapshot: &record.Snapshot{AsOf: 3, Count: 1, Data: []byte("x")}},
 	} {
 		data, err := record.Encode(r)
--- a/pkg/residency/residency_test.go
+++ b/pkg/residency/residency_test.go
@@ -316,19 +316,19 @@
 // Guards against prompts queueing at one replica of a hot model. An extra replica must
 // neither evict a model that is in use nor load from the weight store.
 func TestQueuedPromptsGetExtraReplica(t *testing.T) {
-	slowModel := func(starting float64) residency.Model {
+	slowModel := func(awaitingFirstByte float64) residency.Model {
 		m := model("slow", 0, 0, 4)
-		m.AwaitingFirstByte = starting
+		m.AwaitingFirstByte = awaitingFirstByte
 		return m
 	}
 	idle := model("idle", 0, 0, 0.01)
 	inUse := model("used", 0, 0, 1)
 	for _, c := range []struct {
-		name     string
-		starting float64
-		other    residency.Model
-		onDisk   []string
-		want     int
+		name              string
+		awaitingFirstByte float64
+		other             residency.Model
+		onDisk            []string
+		want              int
 	}{
 		{"an extra replica when prompts queue", 0.9, idle, []string{"slow"}, 1},
 		{"none when prompts do not queue", 0.2, idle, []string{"slow"}, 0},
@@ -343,7 +343,7 @@
 					endpoint("e1", "a", []string{"slow"}),
 					endpoint("e2", "b", []string{c.other.Name, "busy"}, c.onDisk...),
 				},
-				Models: []residency.Model{slowModel(c.starting), c.other, model("busy", 0, 0, 5)},
+				Models: []residency.Model{slowModel(c.awaitingFirstByte), c.other, model("busy", 0, 0, 5)},
 				Limits: limits,
 			})
 			replicas := 0
--- a/pkg/serve/forward.go
+++ b/pkg/serve/forward.go
@@ -198,7 +198,7 @@
 		return
 	}
 	if w.awaitingFirstByte() && x.reserveRetry() {
-		cancel(errors.Wrapf(errAttemptAbandoned, "answer is lost: held there %t, begun %t", run.Active, run.Started))
+		cancel(errors.Wrapf(errAttemptAbandoned, "response is lost: active %t, started %t", run.Active, run.Started))
 	}
 }
 
--- a/pkg/signals/table_test.go
+++ b/pkg/signals/table_test.go
@@ -87,7 +87,7 @@
 
 // A response that was sent before the rate arrives late, or its request was not run. Neither may end
 // the limit.
-func TestOnlyLaterAnswerEndsLimit(t *testing.T) {
+func TestOnlyLaterResponseEndsLimit(t *testing.T) {
 	is := is.New(t)
 	l := newHost(0, 9)
 	l.Observe(at(time.Second), endpoint, withRate(1), at(0), true)
--- a/pkg/state/bench_test.go
+++ b/pkg/state/bench_test.go
@@ -52,13 +52,13 @@
 
 func addKeys(b *testing.B, st *state.State, n int) {
 	for range n / 100 {
-		d := record.Dispatch{Holder: record.HostRef{Host: "h"}}
+		d := record.KeyBatch{Holder: record.HostRef{Host: "h"}}
 		for range 100 {
 			key := record.Key{Customer: "c", Value: uuid.Must(uuid.NewV7()).String()}
 			d.Claims = append(d.Claims, record.KeyClaim{Key: key})
 			d.Outcomes = append(d.Outcomes, record.KeyOutcome{Key: key, Status: 200, Body: make([]byte, 100)})
 		}
-		mustApply(b, st, record.Record{Dispatch: &d})
+		mustApply(b, st, record.Record{KeyBatch: &d})
 	}
 }
 
@@ -111,11 +111,11 @@
 	b.Run("claims=50", func(b *testing.B) {
 		var batches [][]byte
 		for range b.N {
-			d := record.Dispatch{Holder: ref}
+			d := record.KeyBatch{Holder: ref}
 			for range 50 {
 				d.Claims = append(d.Claims, record.KeyClaim{Key: record.Key{Customer: "c", Value: uuid.Must(uuid.NewV7()).String()}})
 			}
-			data, _ := record.Encode(record.Record{ID: record.NewID(), Dispatch: &d})
+			data, _ := record.Encode(record.Record{ID: record.NewID(), KeyBatch: &d})
 			batches = append(batches, data)
 		}
 		b.ResetTimer()
--- a/pkg/state/keys.go
+++ b/pkg/state/keys.go
@@ -99,7 +99,7 @@
 	return !ok || created.Before(k.Horizon())
 }
 
-func (k *Keys) applyDispatch(d record.Dispatch) {
+func (k *Keys) applyBatch(d record.KeyBatch) {
 	for _, c := range d.Claims {
 		k.update(c.Key, func(e KeyEntry) KeyEntry { return claimKey(e, c, d.Holder) })
 	}
--- a/pkg/state/state.go
+++ b/pkg/state/state.go
@@ -112,8 +112,8 @@
 		s.Pools.removeQuiescedOwner(*r.Quiesced)
 	case r.Plan != nil:
 		out.Decisions, out.Rejected = s.Pools.applyPlan(off, *r.Plan, s.Contracts)
-	case r.Dispatch != nil:
-		s.Keys.applyDispatch(*r.Dispatch)
+	case r.KeyBatch != nil:
+		s.Keys.applyBatch(*r.KeyBatch)
 	case r.Horizon != nil:
 		out.Rejected = s.Keys.advanceHorizon(r.Horizon.Before)
 		s.Deferred.deleteBefore(s.Keys.Horizon())
--- a/pkg/state/state_test.go
+++ b/pkg/state/state_test.go
@@ -83,7 +83,7 @@
 }
 
 func keyClaimRecord(host string, key record.Key, attempt uint32) record.Record {
-	return record.Record{Dispatch: &record.Dispatch{
+	return record.Record{KeyBatch: &record.KeyBatch{
 		Holder: record.HostRef{Host: host},
 		Claims: []record.KeyClaim{{Key: key, Attempt: attempt}},
 	}}
@@ -96,7 +96,7 @@
 	key := newKey()
 	f.apply(keyClaimRecord("a", key, 0))
 	is.Equal(f.st.Keys.Get(key).State, state.KeyClaimed)
-	f.apply(record.Record{Dispatch: &record.Dispatch{
+	f.apply(record.Record{KeyBatch: &record.KeyBatch{
 		Holder:   record.HostRef{Host: "a"},
 		Releases: []record.KeyRelease{{Key: key}},
 	}})
@@ -159,9 +159,9 @@
 	case 3:
 		return keyClaimRecord(host.Host, key, st.Keys.Get(key).Attempt)
 	case 4:
-		return record.Record{Dispatch: &record.Dispatch{Holder: host, Outcomes: []record.KeyOutcome{{Key: key, Status: 200}}}}
+		return record.Record{KeyBatch: &record.KeyBatch{Holder: host, Outcomes: []record.KeyOutcome{{Key: key, Status: 200}}}}
 	case 5:
-		return record.Record{Dispatch: &record.Dispatch{Holder: host, Releases: []record.KeyRelease{{Key: key}}}}
+		return record.Record{KeyBatch: &record.KeyBatch{Holder: host, Releases: []record.KeyRelease{{Key: key}}}}
 	case 8:
 		return record.Record{Crashed: &record.EndpointCrash{Endpoint: key.Value, Requests: []record.CrashedRequest{{Content: 1}}}}
 	case 6:
