--- a/internal/standin/site/endpoint.go
+++ b/internal/standin/site/endpoint.go
@@ -138,8 +138,8 @@
 	e.publishEntry()
 }
 
-// SetRateLimitHeader sets the rate limit, in requests per second, that responses contain. An empty string
-// removes it.
+// SetRateLimitHeader sets the rate limit, in requests per second, that responses contain. An
+// empty string removes it.
 func (e *Endpoint) SetRateLimitHeader(rate string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/allowance/levels.go
+++ b/pkg/allowance/levels.go
@@ -44,8 +44,8 @@
 	maxLevels = 256
 )
 
-// Aggregator aggregates the usage reports of hosts: rates by the newest report of each host, and admitted
-// amounts once. It is not safe for concurrent use.
+// Aggregator aggregates the usage reports of hosts: rates by the newest report of each host,
+// and admitted amounts once. It is not safe for concurrent use.
 type Aggregator struct {
 	hosts map[string]hostReport
 	// admitted is the amount admitted since the last sum, by account.
--- a/pkg/allowance/limiter.go
+++ b/pkg/allowance/limiter.go
@@ -277,8 +277,8 @@
 	return l.levels
 }
 
-// ApplyLevels applies the levels as of the time asOf, and reports whether they are newer than the known
-// ones.
+// ApplyLevels applies the levels as of the time asOf, and reports whether they are newer
+// than the known ones.
 func (l *Limiter) ApplyLevels(now, asOf time.Time, t fleet.AccountLevels) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/entryhost/guard.go
+++ b/pkg/entryhost/guard.go
@@ -47,8 +47,8 @@
 	return g
 }
 
-// RecordBroken implements serve.Guard. The ID of a plain service does not change across restarts, so the
-// incarnation is added to distinguish them.
+// RecordBroken implements serve.Guard. The ID of a plain service does not change across
+// restarts, so the incarnation is added to distinguish them.
 func (g *guard) RecordBroken(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool) {
 	e.ID = g.host.withIncarnation(e.ID)
 	g.Guard.RecordBroken(e, f, id, suspected)
--- a/pkg/entryhost/loops.go
+++ b/pkg/entryhost/loops.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// checkAllHealth requests the status of the endpoints in pools that this host owns and of those that it
-// sends requests to.
+// checkAllHealth requests the status of the endpoints in pools that this host owns and of
+// those that it sends requests to.
 func (h *Host) checkAllHealth(ctx context.Context) {
 	h.membersMu.Lock()
 	targets := h.members.HealthCheckTargets()
--- a/pkg/fairqueue/fairqueue.go
+++ b/pkg/fairqueue/fairqueue.go
@@ -1,6 +1,7 @@
-// Package fairqueue implements serve.Queue with fair sharing of a model's slots between customers. The
-// next slot goes to the customer that was given the fewest, and within a customer to the request
-// with the earliest deadline. Requests that cannot be served in time are refused at once.
+// Package fairqueue implements serve.Queue with fair sharing of a model's slots between
+// customers. The next slot goes to the customer that was given the fewest, and within a customer
+// to the request with the earliest deadline. Requests that cannot be served in time are refused
+// at once.
 package fairqueue
 
 import (
@@ -102,8 +103,8 @@
 	return all
 }
 
-// RecordArrival implements serve.Queue. It does nothing, since usage is derived from waiting and running
-// requests.
+// RecordArrival implements serve.Queue. It does nothing, since usage is derived from waiting
+// and running requests.
 func (s *Queues) RecordArrival(*serve.Request) {}
 
 // Acquire implements serve.Queue.
@@ -138,8 +139,8 @@
 	s.queue(terms.Model).release(terms.Customer, string(e), u.Duration)
 }
 
-// HasAlternative implements serve.Queue. It always returns false: without a latency limit in contracts,
-// an unresponsive replica cannot be distinguished from a slow one.
+// HasAlternative implements serve.Queue. It always returns false: without a latency limit in
+// contracts, an unresponsive replica cannot be distinguished from a slow one.
 func (s *Queues) HasAlternative(*serve.Request, fleet.EndpointID) bool { return false }
 
 // ServiceTime implements serve.Queue. It is not used, since HasAlternative returns false.
--- a/pkg/fleet/account_usage.go
+++ b/pkg/fleet/account_usage.go
@@ -4,8 +4,8 @@
 // of the account's allowance.
 type AccountUsage struct {
 	Account string `cbor:"1,keyasint"`
-	// RequestedRate is the average rate per second requested over the last seconds, and AdmittedRate is the
-	// part of it that was admitted.
+	// RequestedRate is the average rate per second requested over the last seconds, and
+	// AdmittedRate is the part of it that was admitted.
 	RequestedRate float64 `cbor:"2,keyasint,omitempty"`
 	AdmittedRate  float64 `cbor:"4,keyasint,omitempty"`
 	// Admitted is the amount admitted since the last report.
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -79,9 +79,9 @@
 	d.storeUnavailable = !responding
 }
 
-// MarkStoreAvailable records that another host has just read the list and sent its changes. The store
-// is then available, even if it does not respond to this host, so that missing entries expire
-// on time.
+// MarkStoreAvailable records that another host has just read the list and sent its changes.
+// The store is then available, even if it does not respond to this host, so that missing
+// entries expire on time.
 func (d *Directory) MarkStoreAvailable() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pkg/fleet/endpoint.go
+++ b/pkg/fleet/endpoint.go
@@ -14,8 +14,8 @@
 // incarnationSeparator separates the name of an endpoint from its start time.
 const incarnationSeparator = "@"
 
-// NewEndpointID returns the ID of an incarnation. startMillis is its start time in Unix milliseconds,
-// 0 if the endpoint does not state it.
+// NewEndpointID returns the ID of an incarnation. startMillis is its start time in Unix
+// milliseconds, 0 if the endpoint does not state it.
 func NewEndpointID(name string, startMillis int64) EndpointID {
 	if startMillis == 0 && !strings.Contains(name, incarnationSeparator) {
 		return EndpointID(name)
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -110,8 +110,9 @@
 }
 
 // holderHeartbeatAge returns how long ago another host received a heartbeat of the holder of a
-// claim, and whether that is recent. Hosts that do not know the caller, or that only know an older claim, cannot
-// vouch for this holder; counting them would delay the takeover from a dead holder.
+// claim, and whether that is recent. Hosts that do not know the caller, or that only know an
+// older claim, cannot vouch for this holder; counting them would delay the takeover from a
+// dead holder.
 func holderHeartbeatAge(response peer.Response, token int64) (ago time.Duration, ok bool) {
 	if response.Claim == nil || response.Claim.Token < token {
 		return 0, false
--- a/pkg/gateway/export_test.go
+++ b/pkg/gateway/export_test.go
@@ -31,7 +31,8 @@
 // OrdersAllowed reports whether the host may issue orders.
 func (g *Gateway) OrdersAllowed() bool { return g.ordersAllowed() }
 
-// DisconnectPeers disconnects the host from the other hosts, but not from the store and the endpoints.
+// DisconnectPeers disconnects the host from the other hosts, but not from the store and the
+// endpoints.
 func (g *Gateway) DisconnectPeers() { _ = g.mesh.node.Close() }
 
 // ApplyConfig applies a record of the configuration topic and returns the version in force
@@ -65,8 +66,8 @@
 // BlockCount returns the number of requests that the host blocks.
 func (g *Gateway) BlockCount() int { return g.guard.Blocklist.Count() }
 
-// UpdatedDuringStartup reports whether the host received its first update well within the startup grace
-// period.
+// UpdatedDuringStartup reports whether the host received its first update well within the
+// startup grace period.
 func (g *Gateway) UpdatedDuringStartup() bool {
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -42,8 +42,8 @@
 type EndpointClient interface {
 	serve.Backend
 	orders.EndpointClient
-	// Terminated reports whether an incarnation of an endpoint has terminated. An error means that this
-	// is unknown.
+	// Terminated reports whether an incarnation of an endpoint has terminated. An error
+	// means that this is unknown.
 	Terminated(ctx context.Context, e fleet.Endpoint) (bool, error)
 	// CloseExcept closes the connections to all endpoints that are not in live.
 	CloseExcept(live map[fleet.EndpointID]bool)
@@ -280,9 +280,9 @@
 	return g.lease.Valid(now, g.election.HeldToken(), g.listAge(now), g.mesh.names())
 }
 
-// takeoverTimeout returns how long after the last heartbeat of the holder another host may take over.
-// Where endpoints check fencing tokens, half of the lease is enough, since the orders of a
-// former holder are rejected.
+// takeoverTimeout returns how long after the last heartbeat of the holder another host may
+// take over. Where endpoints check fencing tokens, half of the lease is enough, since the
+// orders of a former holder are rejected.
 func (g *Gateway) takeoverTimeout() time.Duration {
 	if g.settings.Orders.EndpointsCheckTokens {
 		return g.settings.Timing.Lease / 2
--- a/pkg/gateway/stamp.go
+++ b/pkg/gateway/stamp.go
@@ -4,7 +4,8 @@
 
 // stamp is a reading of the controller's clock, in milliseconds since its start. Hosts pass
 // stamps on unchanged and report the newest one back, so that the controller knows by its own
-// clock when each host has received its heartbeat. Stamps of different controllers are not comparable.
+// clock when each host has received its heartbeat. Stamps of different controllers are not
+// comparable.
 type stamp struct {
 	token int64
 	at    int64
--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -190,9 +190,10 @@
 	return hosts
 }
 
-// PoolObservations returns the observations of a pool's endpoints for the pool's owner. A status from
-// before since is omitted, because it may predate loads ordered by the previous owner. Such an
-// endpoint is reported without an incarnation, which only shows that it is not lost.
+// PoolObservations returns the observations of a pool's endpoints for the pool's owner. A
+// status from before since is omitted, because it may predate loads ordered by the previous
+// owner. Such an endpoint is reported without an incarnation, which only shows that it is not
+// lost.
 func (t *Tracker) PoolObservations(name string, since time.Time) []pool.Observation {
 	var list []pool.Observation
 	for _, endpoint := range slices.Sorted(maps.Keys(t.members)) {
--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/tealvane/tealvane/pkg/quarantine"
 )
 
-// BenchmarkDecide measures Decide on a crash log that holds the maximum number of crashes, each with a
-// batch of requests of which a few ran at several endpoints.
+// BenchmarkDecide measures Decide on a crash log that holds the maximum number of crashes,
+// each with a batch of requests of which a few ran at several endpoints.
 func BenchmarkDecide(b *testing.B) {
 	const ends, batch, repeated = 512, 24, 16
 	l := quarantine.NewCrashLog()
--- a/pkg/quarantine/blocklist.go
+++ b/pkg/quarantine/blocklist.go
@@ -174,8 +174,8 @@
 	return b.version
 }
 
-// Checksum returns a checksum of all blocks and trials, 0 if there are none. It is equal at hosts that
-// hold the same ones.
+// Checksum returns a checksum of all blocks and trials, 0 if there are none. It is equal at
+// hosts that hold the same ones.
 func (b *Blocklist) Checksum() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/quarantine/checker.go
+++ b/pkg/quarantine/checker.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// RecordUnreachable records a refused connection. It starts checks if a run at the endpoint has ended
-// recently.
+// RecordUnreachable records a refused connection. It starts checks if a run at the endpoint
+// has ended recently.
 func (c *checker) RecordUnreachable(e fleet.Endpoint) {
 	now := c.cfg.Now()
 	if c.runs.RanRecently(now, e.ID) && c.addSuspicion(now, e.ID) {
--- a/pkg/quarantine/crashlog.go
+++ b/pkg/quarantine/crashlog.go
@@ -46,8 +46,8 @@
 // Verdict is a request that was found to crash endpoints.
 type Verdict struct {
 	Request fleet.BlockedRequest
-	// Suspect requests are put on trial instead of blocked; LastCrash is when the last endpoint crashed
-	// while running one.
+	// Suspect requests are put on trial instead of blocked; LastCrash is when the last
+	// endpoint crashed while running one.
 	Suspect   bool
 	LastCrash time.Time
 	// Endpoints are those that crashed while running the request.
@@ -242,8 +242,8 @@
 	}
 }
 
-// LastReportedAt returns when this host learned of the last crash that the content may have caused, or
-// the zero time.
+// LastReportedAt returns when this host learned of the last crash that the content may have
+// caused, or the zero time.
 func (l *CrashLog) LastReportedAt(content uint64) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -23,8 +23,8 @@
 type Config struct {
 	// Host is the incarnation of this host, as other hosts know it.
 	Host string
-	// Terminated reports whether this incarnation of the endpoint has terminated. An error means that
-	// this is unknown.
+	// Terminated reports whether this incarnation of the endpoint has terminated. An error
+	// means that this is unknown.
 	Terminated func(ctx context.Context, e fleet.Endpoint) (bool, error)
 	// ShutdownAnnounced reports whether the endpoint has announced its shutdown.
 	ShutdownAnnounced func(id fleet.EndpointID) bool
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -130,8 +130,8 @@
 	})
 }
 
-// The client disconnects just before its request crashes the endpoint, so no response breaks off. The
-// crash must be detected when the next connection is refused.
+// The client disconnects just before its request crashes the endpoint, so no response breaks
+// off. The crash must be detected when the next connection is refused.
 func TestCrashAfterClientDisconnectIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -189,10 +189,10 @@
 	}
 }
 
-// GrantLocally grants this host the copies that it asks for, each at a time derived from host, content
-// and round within span after the last crash. It is called while the host is isolated. Other hosts
-// may be isolated too, and read the result of this host's copy from the store before they run
-// theirs.
+// GrantLocally grants this host the copies that it asks for, each at a time derived from host,
+// content and round within span after the last crash. It is called while the host is isolated.
+// Other hosts may be isolated too, and read the result of this host's copy from the store before
+// they run theirs.
 func (g *Guard) GrantLocally(now time.Time, span time.Duration) {
 	for content, t := range g.Blocklist.openTrials() {
 		expired := now.Sub(t.changedAt) > grantTTL
--- a/pkg/quarantine/responses.go
+++ b/pkg/quarantine/responses.go
@@ -7,8 +7,8 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// responseRetention is the least time for which responses are kept. It covers the delay until this host
-// learns of a trial.
+// responseRetention is the least time for which responses are kept. It covers the delay
+// until this host learns of a trial.
 const responseRetention = 3 * time.Second
 
 // response is a copy of a request that was answered completely.
--- a/pkg/quarantine/runs.go
+++ b/pkg/quarantine/runs.go
@@ -55,8 +55,8 @@
 // NewRecentRuns returns an empty set of runs.
 func NewRecentRuns() *RecentRuns { return &RecentRuns{endpoints: map[fleet.EndpointID]*endpointRuns{}} }
 
-// RecordBroken records a run that broke off. It returns a crash report if the endpoint is known to have
-// crashed.
+// RecordBroken records a run that broke off. It returns a crash report if the endpoint is
+// known to have crashed.
 func (r *RecentRuns) RecordBroken(now time.Time, id fleet.EndpointID, f fleet.Fingerprint, c fleet.CopyID) []fleet.CrashReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,8 +80,8 @@
 	return b
 }
 
-// RecordServed records a complete response. It returns the requests that this clears: those answered at
-// least survivalTime ago by the same endpoint.
+// RecordServed records a complete response. It returns the requests that this clears: those
+// answered at least survivalTime ago by the same endpoint.
 func (r *RecentRuns) RecordServed(now time.Time, id fleet.EndpointID, f fleet.Fingerprint) []fleet.Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,8 +100,8 @@
 	return cleared
 }
 
-// RecordCrash records that the endpoint crashed at the given time, and returns a report for each request
-// that may have been running there.
+// RecordCrash records that the endpoint crashed at the given time, and returns a report for
+// each request that may have been running there.
 func (r *RecentRuns) RecordCrash(now, at time.Time, id fleet.EndpointID) []fleet.CrashReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/relay/aggregator.go
+++ b/pkg/relay/aggregator.go
@@ -23,10 +23,10 @@
 
 func needKeyOf(n fleet.NeedReport) needKey { return needKey{n.Service, n.Model, n.Adapter} }
 
-// Aggregator aggregates the demand reports of the hosts behind a relay. Arrivals are counted as they are
-// reported and passed on once. Numbers of waiting and running requests are those of each host's
-// newest report; late and duplicate reports are ignored, and the last report to a relay that a host
-// has left expires after childLife. It is safe for concurrent use.
+// Aggregator aggregates the demand reports of the hosts behind a relay. Arrivals are counted as
+// they are reported and passed on once. Numbers of waiting and running requests are those of each
+// host's newest report; late and duplicate reports are ignored, and the last report to a relay that
+// a host has left expires after childLife. It is safe for concurrent use.
 type Aggregator struct {
 	mu       sync.Mutex
 	children map[string]*child
--- a/pkg/relay/pull_timing.go
+++ b/pkg/relay/pull_timing.go
@@ -6,8 +6,8 @@
 	// MaxPullHold is how long a pull is held while nothing changes. It is the longest interval
 	// between two responses at each hop, which also serve as heartbeats of the controller.
 	MaxPullHold = 250 * time.Millisecond
-	// responsesPerCore is the number of non-urgent responses per second that a host gives for each of
-	// its cores.
+	// responsesPerCore is the number of non-urgent responses per second that a host gives
+	// for each of its cores.
 	responsesPerCore = 800
 	// minSpacing is the least interval between two non-urgent responses to one host.
 	minSpacing = 8 * time.Millisecond
--- a/pkg/serve/dispatcher.go
+++ b/pkg/serve/dispatcher.go
@@ -289,8 +289,8 @@
 	return true
 }
 
-// DispatchWaiting grants free slots to waiting requests. It must be called after endpoints or their state
-// change.
+// DispatchWaiting grants free slots to waiting requests. It must be called after endpoints
+// or their state change.
 func (d *Dispatcher) DispatchWaiting() {
 	d.mu.Lock()
 	services := make([]string, 0, len(d.shards))
--- a/pkg/serve/health.go
+++ b/pkg/serve/health.go
@@ -107,8 +107,8 @@
 	h.state(id).closedUntil[name] = now.Add(overloadedCooldown)
 }
 
-// RecordNotLoaded records that an endpoint does not have a model or adapter loaded. n is the number of
-// earlier rejections of the same request.
+// RecordNotLoaded records that an endpoint does not have a model or adapter loaded. n is the
+// number of earlier rejections of the same request.
 func (h *Health) RecordNotLoaded(now time.Time, id fleet.EndpointID, name string, n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/pkg/serve/queue.go
+++ b/pkg/serve/queue.go
@@ -18,7 +18,8 @@
 	Acquire(ctx context.Context, r *Request, prior PriorAttempts) (fleet.Endpoint, *Refusal)
 	// Release returns a slot.
 	Release(r *Request, e fleet.EndpointID, u SlotResult)
-	// RecordFirstByte records how long after it was sent a request got the first byte of its response.
+	// RecordFirstByte records how long after it was sent a request got the first byte of its
+	// response.
 	RecordFirstByte(r *Request, after time.Duration)
 	// HasAlternative reports whether an endpoint other than e could serve the request now.
 	HasAlternative(r *Request, e fleet.EndpointID) bool
--- a/pkg/serve/request.go
+++ b/pkg/serve/request.go
@@ -26,8 +26,8 @@
 	Deadline time.Time
 	// ClientDeadline is the client's deadline, which is sent to endpoints.
 	ClientDeadline time.Time
-	// FirstByteDeadline is when the client disconnects if it has received no part of the response. It is
-	// zero if only the deadline applies.
+	// FirstByteDeadline is when the client disconnects if it has received no part of the
+	// response. It is zero if only the deadline applies.
 	FirstByteDeadline time.Time
 	// Account is the client account, or empty if callers need none. Allowance is its rate
 	// limit, and Cost the charge of the request.
--- a/pkg/signals/table.go
+++ b/pkg/signals/table.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// Observe applies the signals in the response to a request that was sent at the time sent. A response
-// without a rate ends the limit only if the endpoint ran the request (ran) and the request was sent
-// after the rate was learned, since responses may arrive late.
+// Observe applies the signals in the response to a request that was sent at the time sent. A
+// response without a rate ends the limit only if the endpoint ran the request (ran) and the request
+// was sent after the rate was learned, since responses may arrive late.
 func (t *Table) Observe(now time.Time, id fleet.EndpointID, a Response, sent time.Time, ran bool) {
 	changed, ok := t.observe(now, id, a, sent, ran)
 	if ok && t.Changed != nil {
@@ -247,8 +247,8 @@
 	return out
 }
 
-// Checksum returns a checksum of all signals, 0 if there are none. It is equal at hosts that hold the
-// same signals.
+// Checksum returns a checksum of all signals, 0 if there are none. It is equal at hosts that
+// hold the same signals.
 func (t *Table) Checksum() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -35,7 +35,8 @@
 	ErrNotSent = errors.New("request was not sent")
 	// ErrUnreachable is returned if no connection could be made. It wraps ErrNotSent.
 	ErrUnreachable = errors.Wrap(ErrNotSent, "no connection")
-	// ErrPoolExhausted is returned if all connections to the endpoint are in use. It wraps ErrNotSent.
+	// ErrPoolExhausted is returned if all connections to the endpoint are in use. It wraps
+	// ErrNotSent.
 	ErrPoolExhausted = errors.Wrap(ErrNotSent, "all connections are in use")
 	// ErrStrayResponse is returned if the connection carried only responses to other requests.
 	ErrStrayResponse = errors.New("response belongs to another request")
@@ -49,8 +50,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// IsOwnResponse reports whether a response with the given header and status belongs to this request.
-	// If nil, any response does.
+	// IsOwnResponse reports whether a response with the given header and status belongs to
+	// this request. If nil, any response does.
 	IsOwnResponse func(http.Header, int) bool
 }
 
