--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -12,9 +12,9 @@
 // BenchmarkDecide measures Decide on a crash log that holds the maximum number of crashes,
 // each with a batch of requests of which a few ran at several endpoints.
 func BenchmarkDecide(b *testing.B) {
-	const ends, batch, repeated = 512, 24, 16
+	const endpoints, batch, repeated = 512, 24, 16
 	l := quarantine.NewCrashLog()
-	for i := range ends {
+	for i := range endpoints {
 		var crashes []fleet.CrashReport
 		for j := range batch {
 			content := uint64(1000 + i*batch + j)
@@ -28,7 +28,7 @@
 		}
 		l.Add(start().Add(ms(i)), crashes)
 	}
-	now := start().Add(ms(ends))
+	now := start().Add(ms(endpoints))
 	for b.Loop() {
 		now = now.Add(100 * time.Millisecond)
 		l.Add(now, []fleet.CrashReport{{Request: fleet.Fingerprint{Content: uint64(b.N), Caller: client}, Endpoint: fleet.EndpointID(now.String())}})
--- a/pkg/quarantine/blocklist.go
+++ b/pkg/quarantine/blocklist.go
@@ -13,7 +13,7 @@
 	BlockTTL = time.Hour
 	// trialTTL is how long a trial is kept, the same as the crashes that led to it.
 	trialTTL = crashTTL
-	// maxBlocks bounds the number of blocks, and separately of trials. Further ones are not added.
+	// maxBlocks bounds the number of blocks and, separately, of trials. Beyond it, none are added.
 	maxBlocks = 512
 )
 
--- a/pkg/quarantine/checker.go
+++ b/pkg/quarantine/checker.go
@@ -15,8 +15,7 @@
 	// it has too many.
 	checkInterval  = 120 * time.Millisecond
 	confirmCrashed = 2
-	// confirmAlive is how many checks must find the endpoint alive to end the search. Most runs
-	// break off at live endpoints, and each check is a call.
+	// confirmAlive is how many checks must find the endpoint alive to end the series of checks.
 	confirmAlive = 3
 	// checkTimeout bounds a single check and the series of checks after a suspected crash. The
 	// process may take a moment to exit, and packets may be lost.
@@ -138,7 +137,7 @@
 	c.clearSuspicion(e.ID)
 }
 
-// checkOnce checks the endpoint once, with a timeout.
+// checkOnce reports whether the endpoint has terminated, by a single check with a timeout.
 func (c *checker) checkOnce(ctx context.Context, e fleet.Endpoint) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
--- a/pkg/quarantine/crashlog.go
+++ b/pkg/quarantine/crashlog.go
@@ -12,21 +12,19 @@
 
 const (
 	// blockCrashes is the number of crashes after which a request is blocked if no other request
-	// explains them. A lower number would block requests that happened to run beside the cause
-	// twice.
+	// explains them.
 	blockCrashes = 3
 	// certainCrashes is the number of crashes after which a request is blocked whatever else ran
-	// there. By then hosts and clients have used all their attempts of an ordinary request.
+	// there.
 	certainCrashes = 4
 	// suspectCrashes is the number of crashes after which a request is put on trial: one copy at a
 	// time runs over all hosts until one is answered or the request is blocked.
 	suspectCrashes = 2
-	// suspectCopies is the number of copies running at crashed endpoints, even a single one, after
-	// which a request is put on trial. As many more copies could crash as many endpoints before the
-	// third crash is detected.
+	// suspectCopies is the number of copies running at crashed endpoints after which a request is
+	// put on trial, even if all of them ran at one endpoint.
 	suspectCopies = 3
-	// reportDelay is how long after the first report of a crash the reports of all hosts have
-	// arrived. They take up to two hops through relays.
+	// reportDelay is the time after the first report of a crash within which the reports of all
+	// hosts are expected. They take up to two hops through relays.
 	reportDelay = 400 * time.Millisecond
 	// tieDelay is how long a block is delayed when another request explains the crashes equally
 	// well. A further crash in that time resolves the tie; otherwise both are blocked.
@@ -205,8 +203,8 @@
 func (l *CrashLog) update(e *endpointCrash, content uint64, apply func()) {
 	crashes, copies := e.contribution(content)
 	apply()
-	endsNow, copiesNow := e.contribution(content)
-	l.adjustCounts(content, endsNow-crashes, copiesNow-copies)
+	crashesNow, copiesNow := e.contribution(content)
+	l.adjustCounts(content, crashesNow-crashes, copiesNow-copies)
 }
 
 // contribution returns what the crash contributes to the counts of the content.
@@ -330,9 +328,8 @@
 
 // Decide returns the requests that cause crashes.
 //
-// A crash is attributed to a request unless another one ran there that ran at more crashes:
-// requests that repeatedly run beside the cause are interrupted each time as well. Crashes that
-// occur together count as one unless the request ran at all of them.
+// A crash is attributed to a request unless another request that ran there also ran at more crashes
+// in total. Crashes that occur together count as one unless the request ran at all of them.
 func (l *CrashLog) Decide(now time.Time) []Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -351,8 +348,9 @@
 	return out
 }
 
-// Attributed returns the crash reports of each content that has crashes attributed to it, if
-// include returns true for the number of these.
+// Attributed returns, by content, the reports of the crashes that are attributed to it. A content is
+// included only if include returns true both for the number of all its crashes and for the number
+// of those attributed to it.
 func (l *CrashLog) Attributed(now time.Time, include func(content uint64, crashes int) bool) map[uint64][]fleet.CrashReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quarantine/crashlog_test.go
+++ b/pkg/quarantine/crashlog_test.go
@@ -86,39 +86,39 @@
 		until   int
 		want    []fleet.BlockedRequest
 	}{
-		{"two ends are no proof", []testCrash{{0, requestsBy(client, harmful)}, {300, requestsBy(client, harmful)}}, 5000, nil},
+		{"two crashes do not block a request", []testCrash{{0, requestsBy(client, harmful)}, {300, requestsBy(client, harmful)}}, 5000, nil},
 		{
-			"three ends under one request",
+			"three crashes while running one request",
 			[]testCrash{{0, requestsBy(client, harmful)}, {300, requestsBy(client, harmful, innocent)}, {600, requestsBy(client, harmful)}},
 			1100, []fleet.BlockedRequest{harmfulOf(client)},
 		},
 		{
-			"not before all hosts have told what ran at the last one",
+			"not blocked before all hosts have reported the last crash",
 			[]testCrash{{0, requestsBy(client, harmful)}, {300, requestsBy(client, harmful)}, {600, requestsBy(client, harmful)}},
 			900, nil,
 		},
 		{
-			"a request that was repeated beside the harmful one each time is served in the end",
+			"a harmless request that is retried beside the harmful one is not blocked",
 			[]testCrash{{0, requestsBy(client, harmful)}, {300, requestsBy(client, harmful, innocent)}, {600, requestsBy(client, harmful, innocent)}, {900, requestsBy(client, harmful, innocent)}},
 			5000, []fleet.BlockedRequest{harmfulOf(client)},
 		},
 		{
-			"two requests that ran together: a further end tells which one",
+			"two requests that ran together: a further crash identifies the cause",
 			[]testCrash{{0, requestsBy(client, harmful, innocent)}, {300, requestsBy(client, harmful, innocent)}, {600, requestsBy(client, harmful, innocent)}, {1300, requestsBy(client, harmful)}},
 			5000, []fleet.BlockedRequest{harmfulOf(client)},
 		},
 		{
-			"two requests that ran together: nothing tells which one",
+			"two requests that ran together: both are blocked without a further crash",
 			[]testCrash{{0, requestsBy(client, harmful, innocent)}, {300, requestsBy(client, harmful, innocent)}, {600, requestsBy(client, harmful, innocent)}},
 			1600, []fleet.BlockedRequest{harmfulOf(client), {Content: innocent, Caller: client}},
 		},
 		{
-			"a rack loses power under copies of one request",
+			"a rack that runs copies of one request loses power",
 			[]testCrash{{0, requestsBy(client, innocent)}, {10, requestsBy(client, innocent)}, {30, requestsBy(client, other)}, {60, requestsBy(client, innocent)}},
 			5000, nil,
 		},
 		{
-			"copies of the harmful request end three endpoints at once",
+			"copies of the harmful request crash three endpoints at once",
 			[]testCrash{{0, requestsBy(client, harmful)}, {10, requestsBy(client, harmful)}, {30, requestsBy(client, harmful, innocent)}},
 			5000, []fleet.BlockedRequest{harmfulOf(client)},
 		},
@@ -128,7 +128,7 @@
 			5000, []fleet.BlockedRequest{harmfulOf(fleet.AnyCaller)},
 		},
 		{
-			"two harmful requests end endpoints in turn",
+			"two harmful requests crash endpoints in turn",
 			[]testCrash{
 				{0, requestsBy(client, harmful)}, {80, requestsBy(client, other)}, {160, requestsBy(client, harmful)}, {240, requestsBy(client, other)},
 				{320, requestsBy(client, harmful)}, {400, requestsBy(client, other)},
@@ -136,7 +136,7 @@
 			1000, []fleet.BlockedRequest{harmfulOf(client), {Content: other, Caller: client}},
 		},
 		{
-			"two harmful requests end endpoints faster than these can be told apart in time",
+			"two harmful requests crash endpoints within the correlation window",
 			[]testCrash{
 				{0, requestsBy(client, harmful)}, {40, requestsBy(client, other)}, {80, requestsBy(client, harmful)}, {120, requestsBy(client, other)},
 				{160, requestsBy(client, harmful)}, {200, requestsBy(client, other)},
@@ -144,17 +144,17 @@
 			1000, []fleet.BlockedRequest{harmfulOf(client), {Content: other, Caller: client}},
 		},
 		{
-			"the same content of another caller ran beside it",
+			"the same content from another caller ran at one crash",
 			[]testCrash{{0, requestsBy(client, harmful)}, {300, append(requestsBy(client, harmful), requestsBy(otherClient, harmful)...)}, {600, requestsBy(client, harmful)}},
 			5000, []fleet.BlockedRequest{harmfulOf(client)},
 		},
 		{
-			"its client goes on from another address",
+			"the client continues from another address",
 			[]testCrash{{0, requestsBy(client, harmful)}, {300, requestsBy(client, harmful)}, {600, requestsBy(client, harmful)}, {2000, requestsBy(otherClient, harmful)}},
 			5000, []fleet.BlockedRequest{harmfulOf(client), harmfulOf(fleet.AnyCaller)},
 		},
 		{
-			"it comes back long after",
+			"crashes many seconds apart",
 			[]testCrash{{0, requestsBy(client, harmful)}, {20_000, requestsBy(client, harmful)}, {40_000, requestsBy(client, harmful)}},
 			40_500, []fleet.BlockedRequest{harmfulOf(client)},
 		},
@@ -166,7 +166,7 @@
 // One request crashes each endpoint that runs it, beside harmless ones that are repeated up to
 // three times. The cause must be blocked within a second of its third crash, and no request that
 // ran at fewer than three crashes or only beside the cause.
-func TestDecideBlocksOnlyTheMostHarmful(t *testing.T) {
+func TestDecideBlocksNoHarmlessRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 12).Draw(t, "ends")
 		var crashes []testCrash
@@ -218,10 +218,10 @@
 func TestDuplicateCrashReportsAreIgnored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []fleet.CrashReport
-		ends := map[fleet.EndpointID]bool{}
+		crashed := map[fleet.EndpointID]bool{}
 		for range rapid.IntRange(1, 12).Draw(t, "crashes") {
 			id := fleet.EndpointID(fmt.Sprint("e", rapid.IntRange(0, 3).Draw(t, "endpoint")))
-			ends[id] = true
+			crashed[id] = true
 			all = append(all, fleet.CrashReport{Request: requestsBy(client, harmful)[0], Endpoint: id, Ago: rapid.Int64Range(0, 900).Draw(t, "ago")})
 		}
 		l := quarantine.NewCrashLog()
@@ -231,20 +231,20 @@
 			l.Add(start(), []fleet.CrashReport{c})
 		}
 		reports, next := l.Since(start(), 0, 100)
-		if len(reports) != len(ends) {
-			t.Fatalf("Since returned %d crashes, but %d endpoints crashed", len(reports), len(ends))
+		if len(reports) != len(crashed) {
+			t.Fatalf("Since returned %d crashes, but %d endpoints crashed", len(reports), len(crashed))
 		}
 		relay := quarantine.NewCrashLog()
 		relay.Add(start(), reports)
 		if relay.Add(start(), reports) {
-			t.Fatal("Add reports duplicate crashes as new")
+			t.Fatalf("Add reports duplicates of %v as new", reports)
 		}
 		if rest, _ := l.Since(start(), next, 100); len(rest) > 0 {
-			t.Fatalf("Since returned %v again", rest)
+			t.Fatalf("Since(%d) returned reports again: %v", next, rest)
 		}
 		found := slices.ContainsFunc(relay.Decide(start().Add(time.Second)), func(v quarantine.Verdict) bool { return !v.Suspect })
-		if enough := len(ends) >= 3; found != enough {
-			t.Fatalf("request blocked: %t after %d crashes", found, len(ends))
+		if enough := len(crashed) >= 3; found != enough {
+			t.Fatalf("request blocked: %t after %d crashes", found, len(crashed))
 		}
 	})
 }
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -15,8 +15,8 @@
 	"github.com/tealvane/tealvane/pkg/quarantine"
 )
 
-// errTimeout is the result of a check whose endpoint does not answer.
-var errTimeout = errors.New("no answer")
+// errTimeout is the result of a check whose endpoint does not respond.
+var errTimeout = errors.New("no response")
 
 // checkResult is the result of one check of an endpoint.
 type checkResult struct {
@@ -53,13 +53,13 @@
 		results   []checkResult
 		want      int
 	}{
-		{"it has crashed", false, []checkResult{{terminated: true}}, 1},
-		{"its process takes a moment to end", false, []checkResult{{}, {terminated: true}}, 1},
-		{"packets are lost", false, []checkResult{{err: errTimeout}, {terminated: true}}, 1},
-		{"it lives", false, []checkResult{{}}, 0},
-		{"it refuses one connection too many", false, []checkResult{{terminated: true}, {}}, 0},
-		{"it is cut off", false, []checkResult{{err: errTimeout}}, 0},
-		{"it has announced its end", true, []checkResult{{terminated: true}}, 0},
+		{"endpoint crashed", false, []checkResult{{terminated: true}}, 1},
+		{"process exits with a delay", false, []checkResult{{}, {terminated: true}}, 1},
+		{"first check times out", false, []checkResult{{err: errTimeout}, {terminated: true}}, 1},
+		{"endpoint is alive", false, []checkResult{{}}, 0},
+		{"one check is refused", false, []checkResult{{terminated: true}, {}}, 0},
+		{"endpoint is partitioned", false, []checkResult{{err: errTimeout}}, 0},
+		{"shutdown was announced", true, []checkResult{{terminated: true}}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -83,9 +83,9 @@
 	for secondBreak := 10 * time.Millisecond; secondBreak < 500*time.Millisecond; secondBreak += 20 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			var ended atomic.Bool
+			var terminated atomic.Bool
 			g := quarantine.NewGuard(quarantine.Config{
-				Terminated:        func(context.Context, fleet.Endpoint) (bool, error) { return ended.Load(), nil },
+				Terminated:        func(context.Context, fleet.Endpoint) (bool, error) { return terminated.Load(), nil },
 				ShutdownAnnounced: func(fleet.EndpointID) bool { return false },
 				OnCrash:           func([]fleet.CrashReport) {},
 				Now:               time.Now,
@@ -96,7 +96,7 @@
 			time.Sleep(secondBreak)
 			g.RecordBroken(e, requestsBy(client, harmful)[0], 1, true)
 			time.Sleep(50 * time.Millisecond)
-			ended.Store(true)
+			terminated.Store(true)
 			time.Sleep(2 * time.Second)
 			crashes, _ := g.CrashLog.Since(time.Now(), 0, 10)
 			is.True(slices.ContainsFunc(crashes, func(c fleet.CrashReport) bool { return c.Request.Content == harmful }))
@@ -273,8 +273,8 @@
 		between bool
 		blocked bool
 	}{
-		{"served between the ends", true, false},
-		{"served before them only", false, true},
+		{"served between the crashes", true, false},
+		{"served only before the crashes", false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/pkg/quarantine/responses.go
+++ b/pkg/quarantine/responses.go
@@ -35,32 +35,32 @@
 }
 
 // add records a response.
-func (r *recentResponses) add(now time.Time, content uint64, a response) {
+func (r *recentResponses) add(now time.Time, content uint64, resp response) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if now.Sub(r.rotatedAt) >= responseRetention {
 		r.current, r.previous, r.rotatedAt = map[uint64]response{}, r.current, now
 	}
-	if a.sentAt.After(r.current[content].sentAt) {
-		r.current[content] = a
+	if resp.sentAt.After(r.current[content].sentAt) {
+		r.current[content] = resp
 	}
 }
 
 // claim returns a copy of the content that was sent after the given time and answered long enough
 // ago that a crash would have shown. If ok is true, the caller must check the endpoint and then
 // call release.
-func (r *recentResponses) claim(now time.Time, content uint64, after time.Time) (a response, ok bool) {
+func (r *recentResponses) claim(now time.Time, content uint64, after time.Time) (resp response, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a, ok = r.current[content]
+	resp, ok = r.current[content]
 	if !ok {
-		a, ok = r.previous[content]
+		resp, ok = r.previous[content]
 	}
-	if !ok || r.checking[content] || !a.sentAt.After(after) || now.Sub(a.completedAt) < servedWindow {
+	if !ok || r.checking[content] || !resp.sentAt.After(after) || now.Sub(resp.completedAt) < servedWindow {
 		return response{}, false
 	}
 	r.checking[content] = true
-	return a, true
+	return resp, true
 }
 
 func (r *recentResponses) release(content uint64) {
@@ -72,13 +72,13 @@
 // clearIfServed clears the suspect if a copy of it was sent and answered after the last crash and
 // the endpoint that answered is alive.
 func (g *Guard) clearIfServed(now time.Time, content uint64, t trial) {
-	a, ok := g.responses.claim(now, content, t.lastCrashAt)
+	resp, ok := g.responses.claim(now, content, t.lastCrashAt)
 	if !ok {
 		return
 	}
 	go func() {
 		defer g.responses.release(content)
-		if g.isAlive(a.endpoint) {
+		if g.isAlive(resp.endpoint) {
 			g.clearTrial(content)
 		}
 	}()
--- a/pkg/quarantine/runs.go
+++ b/pkg/quarantine/runs.go
@@ -60,24 +60,24 @@
 func (r *RecentRuns) RecordBroken(now time.Time, id fleet.EndpointID, f fleet.Fingerprint, c fleet.CopyID) []fleet.CrashReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b := r.forEndpoint(id)
-	b.lastRunAt = now
-	if b.crashedAt.IsZero() {
-		b.brokenAt[requestCopy{f, c}] = now
+	runs := r.forEndpoint(id)
+	runs.lastRunAt = now
+	if runs.crashedAt.IsZero() {
+		runs.brokenAt[requestCopy{f, c}] = now
 		return nil
 	}
-	return []fleet.CrashReport{newCrash(now, id, requestCopy{f, c}, b.crashedAt)}
+	return []fleet.CrashReport{newCrash(now, id, requestCopy{f, c}, runs.crashedAt)}
 }
 
 // forEndpoint returns the runs at an endpoint, which it creates if there are none. It must be
 // called with r.mu held.
 func (r *RecentRuns) forEndpoint(id fleet.EndpointID) *endpointRuns {
-	b := r.endpoints[id]
-	if b == nil {
-		b = &endpointRuns{brokenAt: map[requestCopy]time.Time{}, servedAt: map[fleet.Fingerprint]time.Time{}}
-		r.endpoints[id] = b
+	runs := r.endpoints[id]
+	if runs == nil {
+		runs = &endpointRuns{brokenAt: map[requestCopy]time.Time{}, servedAt: map[fleet.Fingerprint]time.Time{}}
+		r.endpoints[id] = runs
 	}
-	return b
+	return runs
 }
 
 // RecordServed records a complete response. It returns the requests that this clears: those
@@ -85,17 +85,17 @@
 func (r *RecentRuns) RecordServed(now time.Time, id fleet.EndpointID, f fleet.Fingerprint) []fleet.Fingerprint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b := r.forEndpoint(id)
-	b.lastRunAt = now
+	runs := r.forEndpoint(id)
+	runs.lastRunAt = now
 	var cleared []fleet.Fingerprint
-	for other, at := range b.servedAt {
+	for other, at := range runs.servedAt {
 		if now.Sub(at) >= survivalTime {
 			cleared = append(cleared, other)
-			delete(b.servedAt, other)
+			delete(runs.servedAt, other)
 		}
 	}
-	if _, ok := b.servedAt[f]; !ok {
-		b.servedAt[f] = now
+	if _, ok := runs.servedAt[f]; !ok {
+		runs.servedAt[f] = now
 	}
 	return cleared
 }
@@ -105,25 +105,25 @@
 func (r *RecentRuns) RecordCrash(now, at time.Time, id fleet.EndpointID) []fleet.CrashReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b := r.endpoints[id]
-	if b == nil || !b.crashedAt.IsZero() {
+	runs := r.endpoints[id]
+	if runs == nil || !runs.crashedAt.IsZero() {
 		return nil
 	}
-	b.crashedAt = at
-	b.lastRunAt = now
+	runs.crashedAt = at
+	runs.lastRunAt = now
 	var out []fleet.CrashReport
-	for c, brokenAt := range b.brokenAt {
+	for c, brokenAt := range runs.brokenAt {
 		if at.Sub(brokenAt) <= brokenWindow {
 			out = append(out, newCrash(now, id, c, at))
 		}
 	}
-	for f, servedAt := range b.servedAt {
+	for f, servedAt := range runs.servedAt {
 		if at.Sub(servedAt) <= servedWindow {
 			out = append(out, newCrash(now, id, requestCopy{request: f}, at))
 		}
 	}
-	clear(b.brokenAt)
-	clear(b.servedAt)
+	clear(runs.brokenAt)
+	clear(runs.servedAt)
 	return out
 }
 
@@ -131,11 +131,11 @@
 func (r *RecentRuns) RecordAlive(now time.Time, id fleet.EndpointID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b := r.endpoints[id]
-	if b == nil {
+	runs := r.endpoints[id]
+	if runs == nil {
 		return
 	}
-	maps.DeleteFunc(b.brokenAt, func(_ requestCopy, brokenAt time.Time) bool { return now.Sub(brokenAt) > exitDelay })
+	maps.DeleteFunc(runs.brokenAt, func(_ requestCopy, brokenAt time.Time) bool { return now.Sub(brokenAt) > exitDelay })
 }
 
 // RanRecently reports whether a run at the endpoint ended recently enough to be the cause if the
@@ -143,16 +143,16 @@
 func (r *RecentRuns) RanRecently(now time.Time, id fleet.EndpointID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b := r.endpoints[id]
-	return b != nil && b.crashedAt.IsZero() && now.Sub(b.lastRunAt) <= brokenWindow
+	runs := r.endpoints[id]
+	return runs != nil && runs.crashedAt.IsZero() && now.Sub(runs.lastRunAt) <= brokenWindow
 }
 
 // Prune removes endpoints without recent runs.
 func (r *RecentRuns) Prune(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, b := range r.endpoints {
-		if now.Sub(b.lastRunAt) > runRetention {
+	for id, runs := range r.endpoints {
+		if now.Sub(runs.lastRunAt) > runRetention {
 			delete(r.endpoints, id)
 		}
 	}
--- a/pkg/quarantine/trial.go
+++ b/pkg/quarantine/trial.go
@@ -27,17 +27,17 @@
 
 func (t trial) cleared() bool { return t.Stage == fleet.TrialCleared }
 
-// nextRound returns the nextRound round, in its initial stage.
+// nextRound returns the next round of the trial, in its initial stage.
 func (t trial) nextRound() fleet.Trial { return fleet.Trial{Round: t.Round + 1} }
 
 // toBlock returns the trial in the form in which hosts exchange it.
 func (t trial) toBlock(now time.Time, content uint64) fleet.Block {
-	b := fleet.Block{Request: fromAnyCaller(content), Since: t.suspectedAt, Suspect: true, Trial: t.Trial}
+	b := fleet.Block{Request: forAnyCaller(content), Since: t.suspectedAt, Suspect: true, Trial: t.Trial}
 	b.Trial.LastCrashAgo = now.Sub(t.lastCrashAt).Milliseconds()
 	return b
 }
 
-func fromAnyCaller(content uint64) fleet.BlockedRequest {
+func forAnyCaller(content uint64) fleet.BlockedRequest {
 	return fleet.BlockedRequest{Content: content, Caller: fleet.AnyCaller}
 }
 
