--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -56,7 +56,7 @@
 }
 
 func newSimulation(seed uint64, hosts, callers int) *simulation {
-	f := &simulation{
+	s := &simulation{
 		random:           rand.New(rand.NewPCG(seed, 1)),
 		now:              time.Unix(1000, 0),
 		sums:             allowance.NewAggregator(),
@@ -65,103 +65,103 @@
 		partitionedUntil: make([]time.Time, hosts),
 		account:          fleet.Account{Name: "a", Allowance: fleet.Allowance{Unit: fleet.Tokens, Rate: rate, Burst: burst}},
 	}
-	f.risen = make([]bool, hosts)
+	s.risen = make([]bool, hosts)
 	for i := range hosts {
-		l := allowance.NewLimiter(func() { f.risen[i] = true })
+		l := allowance.NewLimiter(func() { s.risen[i] = true })
 		l.SetHosts(hosts)
-		f.unsent = append(f.unsent, allowance.NewAggregator())
-		f.hosts = append(f.hosts, l)
+		s.unsent = append(s.unsent, allowance.NewAggregator())
+		s.hosts = append(s.hosts, l)
 	}
 	for range callers {
-		f.weight[f.random.IntN(hosts)] += 1 / float64(callers)
+		s.weight[s.random.IntN(hosts)] += 1 / float64(callers)
 	}
-	return f
+	return s
 }
 
 // latency returns the random latency of a message, including the wait for the next exchange.
-func (f *simulation) latency() time.Duration {
-	return 60*time.Millisecond + time.Duration(f.random.Int64N(int64(250*time.Millisecond)))
+func (s *simulation) latency() time.Duration {
+	return 60*time.Millisecond + time.Duration(s.random.Int64N(int64(250*time.Millisecond)))
 }
 
 // send queues a message between a host and the controller, and reports false if the host is
 // partitioned.
-func (f *simulation) send(host int, deliver func()) bool {
-	if f.partitionedUntil[host].After(f.now) {
+func (s *simulation) send(host int, deliver func()) bool {
+	if s.partitionedUntil[host].After(s.now) {
 		return false
 	}
-	f.inFlight = append(f.inFlight, message{f.now.Add(f.latency()), deliver})
+	s.inFlight = append(s.inFlight, message{s.now.Add(s.latency()), deliver})
 	return true
 }
 
 // run simulates callers that request load times the allowance for the duration d.
-func (f *simulation) run(load float64, d time.Duration) {
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
-		f.exchange()
+func (s *simulation) run(load float64, d time.Duration) {
+	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(step) {
+		s.exchange()
 		var admitted, requested float64
-		for i, h := range f.hosts {
-			for due := load * rate * f.weight[i] * step.Seconds(); due > 0; {
-				cost := 200 + f.random.Float64()*1000
-				if f.random.IntN(100) == 0 {
+		for i, h := range s.hosts {
+			for due := load * rate * s.weight[i] * step.Seconds(); due > 0; {
+				cost := 200 + s.random.Float64()*1000
+				if s.random.IntN(100) == 0 {
 					cost *= 15
 				}
-				if f.random.Float64() > due/cost {
+				if s.random.Float64() > due/cost {
 					break
 				}
 				due -= cost
 				requested += cost
-				if ok, _ := h.Allow(f.now, "a", f.account.Allowance, cost); ok {
+				if ok, _ := h.Allow(s.now, "a", s.account.Allowance, cost); ok {
 					admitted += cost
 				} else {
-					f.refused++
+					s.refused++
 				}
 			}
 		}
-		f.admitted, f.requested = append(f.admitted, admitted), append(f.requested, requested)
+		s.admitted, s.requested = append(s.admitted, admitted), append(s.requested, requested)
 	}
 }
 
 // exchange delivers due messages, and lets hosts report and the controller publish levels.
-func (f *simulation) exchange() {
+func (s *simulation) exchange() {
 	var later []message
-	due := f.inFlight
-	f.inFlight = nil
+	due := s.inFlight
+	s.inFlight = nil
 	for _, m := range due {
-		if m.at.After(f.now) {
+		if m.at.After(s.now) {
 			later = append(later, m)
 			continue
 		}
 		m.deliver()
 	}
-	f.inFlight = append(f.inFlight, later...)
-	tick := f.now.UnixMilli()
-	for i, h := range f.hosts[1:] {
-		if tick%200 == 0 || tick%40 == 0 && f.risen[i+1] {
-			f.risen[i+1] = false
-			usage := f.unsent[i+1].Sum(f.now, h.Usage(f.now), allowance.RelayTTL)
-			if !f.send(i+1, func() { f.sums.Add(f.now, fmt.Sprint(i), usage, allowance.ControllerTTL) }) {
-				f.unsent[i+1].AddAdmitted(usage)
+	s.inFlight = append(s.inFlight, later...)
+	tick := s.now.UnixMilli()
+	for i, h := range s.hosts[1:] {
+		if tick%200 == 0 || tick%40 == 0 && s.risen[i+1] {
+			s.risen[i+1] = false
+			usage := s.unsent[i+1].Sum(s.now, h.Usage(s.now), allowance.RelayTTL)
+			if !s.send(i+1, func() { s.sums.Add(s.now, fmt.Sprint(i), usage, allowance.ControllerTTL) }) {
+				s.unsent[i+1].AddAdmitted(usage)
 			}
 		}
 	}
 	if tick%100 != 0 {
 		return
 	}
-	levels := f.levels.Decide(f.now, 1, map[string]fleet.Account{"a": f.account}, f.sums.Sum(f.now, f.hosts[0].Usage(f.now), allowance.ControllerTTL))
-	asOf := f.now
-	f.hosts[0].ApplyLevels(f.now, asOf, levels)
-	for i, h := range f.hosts[1:] {
-		f.send(i+1, func() { h.ApplyLevels(f.now, asOf, levels) })
+	levels := s.levels.Decide(s.now, 1, map[string]fleet.Account{"a": s.account}, s.sums.Sum(s.now, s.hosts[0].Usage(s.now), allowance.ControllerTTL))
+	asOf := s.now
+	s.hosts[0].ApplyLevels(s.now, asOf, levels)
+	for i, h := range s.hosts[1:] {
+		s.send(i+1, func() { h.ApplyLevels(s.now, asOf, levels) })
 	}
 }
 
 // maxInWindow returns the most that was admitted within any window.
-func (f *simulation) maxInWindow() float64 {
+func (s *simulation) maxInWindow() float64 {
 	n := int(window / step)
 	sum, maxInWindow := 0.0, 0.0
-	for i, v := range f.admitted {
+	for i, v := range s.admitted {
 		sum += v
 		if i >= n {
-			sum -= f.admitted[i-n]
+			sum -= s.admitted[i-n]
 		}
 		maxInWindow = max(maxInWindow, sum)
 	}
@@ -174,10 +174,10 @@
 // be refused because of uneven shares.
 func TestNoRefusalsBelowLimit(t *testing.T) {
 	is := is.New(t)
-	f := newSimulation(1, 65, 12)
-	f.run(0, time.Second)
-	f.run(0.55, 20*time.Second)
-	is.Equal(f.refused, 0)
+	s := newSimulation(1, 65, 12)
+	s.run(0, time.Second)
+	s.run(0.55, 20*time.Second)
+	is.Equal(s.refused, 0)
 }
 
 // The rate of an account rises suddenly to several times its limit. The amount admitted must stay
@@ -185,26 +185,26 @@
 func TestOverloadedAccountStaysWithinLimit(t *testing.T) {
 	for _, load := range []float64{1.5, 3.5, 4.1, 7} {
 		t.Run(fmt.Sprint(load), func(t *testing.T) {
-			f := newSimulation(2, 65, 12)
-			f.run(0.55, 10*time.Second)
-			start := len(f.admitted)
-			f.run(load, 12*time.Second)
-			if admitted := f.maxInWindow(); admitted > bound() {
-				t.Errorf("%.0f in a window, %.0f are allowed", admitted, bound())
+			s := newSimulation(2, 65, 12)
+			s.run(0.55, 10*time.Second)
+			start := len(s.admitted)
+			s.run(load, 12*time.Second)
+			if admitted := s.maxInWindow(); admitted > bound() {
+				t.Errorf("admitted %.0f in a window, want at most %.0f", admitted, bound())
 			}
 			sum := 0.0
-			for _, v := range f.admitted[start:] {
+			for _, v := range s.admitted[start:] {
 				sum += v
 			}
 			if least := 0.85 * 12 * rate; sum < least {
 				t.Errorf("admitted %.0f in 12 s, want at least %.0f", sum, least)
 			}
-			f.refused = 0
-			f.run(0.55, 5*time.Second)
-			f.refused = 0
-			f.run(0.55, 10*time.Second)
-			if f.refused > 0 {
-				t.Errorf("%d requests refused after the load fell below the limit", f.refused)
+			s.refused = 0
+			s.run(0.55, 5*time.Second)
+			s.refused = 0
+			s.run(0.55, 10*time.Second)
+			if s.refused > 0 {
+				t.Errorf("%d requests refused after the load fell below the limit", s.refused)
 			}
 		})
 	}
@@ -232,7 +232,7 @@
 	}
 	allowed := (limited.Rate*window.Seconds()+limited.Burst)*(1+over) + slack
 	if admitted > allowed {
-		t.Errorf("%.0f in a window, %.0f are allowed", admitted, allowed)
+		t.Errorf("admitted %.0f in a window, want at most %.0f", admitted, allowed)
 	}
 }
 
@@ -241,11 +241,11 @@
 const maxPartitioned = 0.4
 
 // partitioned returns the part of the callers whose hosts are partitioned.
-func (f *simulation) partitioned() float64 {
+func (s *simulation) partitioned() float64 {
 	sum := 0.0
-	for i, until := range f.partitionedUntil {
-		if until.After(f.now) {
-			sum += f.weight[i]
+	for i, until := range s.partitionedUntil {
+		if until.After(s.now) {
+			sum += s.weight[i]
 		}
 	}
 	return sum
@@ -255,18 +255,18 @@
 // admitted must stay within the bound.
 func TestPartitionedHostsStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 30).Draw(t, "hosts"), rapid.IntRange(1, 20).Draw(t, "callers"))
-		f.run(0.55, 5*time.Second)
+		s := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 30).Draw(t, "hosts"), rapid.IntRange(1, 20).Draw(t, "callers"))
+		s.run(0.55, 5*time.Second)
 		for range rapid.IntRange(1, 3).Draw(t, "spans") {
-			for i := range f.partitionedUntil[1:] {
-				if f.partitioned()+f.weight[i+1] <= maxPartitioned && rapid.IntRange(0, 5).Draw(t, "cut") == 0 {
-					f.partitionedUntil[i+1] = f.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "seconds")) * time.Second)
+			for i := range s.partitionedUntil[1:] {
+				if s.partitioned()+s.weight[i+1] <= maxPartitioned && rapid.IntRange(0, 5).Draw(t, "cut") == 0 {
+					s.partitionedUntil[i+1] = s.now.Add(time.Duration(rapid.IntRange(1, 6).Draw(t, "seconds")) * time.Second)
 				}
 			}
-			f.run(rapid.SampledFrom([]float64{0.3, 0.55, 1.2, 4}).Draw(t, "load"), 4*time.Second)
+			s.run(rapid.SampledFrom([]float64{0.3, 0.55, 1.2, 4}).Draw(t, "load"), 4*time.Second)
 		}
-		if admitted := f.maxInWindow(); admitted > bound() {
-			t.Fatalf("%.0f in a window, %.0f are allowed", admitted, bound())
+		if admitted := s.maxInWindow(); admitted > bound() {
+			t.Fatalf("admitted %.0f in a window, want at most %.0f", admitted, bound())
 		}
 	})
 }
@@ -282,29 +282,29 @@
 		partitioned    bool
 		span           time.Duration
 	}{
-		{"cut off as it begins", 20, 20, 0.55, 4.1, true, 6 * time.Second},
+		{"partitioned at the rise", 20, 20, 0.55, 4.1, true, 6 * time.Second},
 		{"a single host", 9, 1, 0.55, 7, false, 6 * time.Second},
-		{"a little beyond, then far", 20, 20, 1.3, 7, false, 6 * time.Second},
-		{"a little beyond, then cut off", 20, 20, 1.3, 4.1, true, 6 * time.Second},
-		{"hardly anything before", 30, 30, 0.05, 7, false, 6 * time.Second},
-		{"a little beyond for long, then far", 20, 20, 1.3, 7, false, 25 * time.Second},
-		{"a little beyond for long, then cut off", 20, 20, 1.3, 4.1, true, 25 * time.Second},
-		{"twice as much for long, then cut off", 20, 20, 2, 4.1, true, 25 * time.Second},
-		{"twice as much for long at few hosts, then far", 65, 12, 2, 7, false, 25 * time.Second},
+		{"slightly over the limit, then far over", 20, 20, 1.3, 7, false, 6 * time.Second},
+		{"slightly over the limit, then partitioned", 20, 20, 1.3, 4.1, true, 6 * time.Second},
+		{"nearly idle before the rise", 30, 30, 0.05, 7, false, 6 * time.Second},
+		{"slightly over the limit for long, then far over", 20, 20, 1.3, 7, false, 25 * time.Second},
+		{"slightly over the limit for long, then partitioned", 20, 20, 1.3, 4.1, true, 25 * time.Second},
+		{"twice the limit for long, then partitioned", 20, 20, 2, 4.1, true, 25 * time.Second},
+		{"twice the limit for long at few hosts, then far over", 65, 12, 2, 7, false, 25 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(8) {
-				f := newSimulation(seed, c.hosts, c.callers)
-				f.run(0.55, 6*time.Second)
-				f.run(c.before, c.span)
+				s := newSimulation(seed, c.hosts, c.callers)
+				s.run(0.55, 6*time.Second)
+				s.run(c.before, c.span)
 				for i := 1; c.partitioned && i < c.hosts; i++ {
-					if f.partitioned()+f.weight[i] <= maxPartitioned {
-						f.partitionedUntil[i] = f.now.Add(7 * time.Second)
+					if s.partitioned()+s.weight[i] <= maxPartitioned {
+						s.partitionedUntil[i] = s.now.Add(7 * time.Second)
 					}
 				}
-				f.run(c.load, 12*time.Second)
-				if admitted := f.maxInWindow(); admitted > bound() {
-					t.Errorf("seed %d: %.0f in a window, %.0f are allowed", seed, admitted, bound())
+				s.run(c.load, 12*time.Second)
+				if admitted := s.maxInWindow(); admitted > bound() {
+					t.Errorf("seed %d: admitted %.0f in a window, want at most %.0f", seed, admitted, bound())
 				}
 			}
 		})
@@ -318,19 +318,19 @@
 	small := fleet.Allowance{Unit: fleet.Tokens, Rate: 29_000, Burst: 69_000}
 	const tolerated = 110_000
 	for seed := range uint64(3) {
-		f := newSimulation(seed, hosts, callers)
-		f.levels = allowance.NewLevels(allowance.Tolerance{Excess: over, Slack: tolerated, Window: window})
-		f.account.Allowance = small
-		f.run(before, 12*time.Second)
+		s := newSimulation(seed, hosts, callers)
+		s.levels = allowance.NewLevels(allowance.Tolerance{Excess: over, Slack: tolerated, Window: window})
+		s.account.Allowance = small
+		s.run(before, 12*time.Second)
 		for i := 1; i < hosts; i++ {
-			if f.partitioned()+f.weight[i] <= maxPartitioned {
-				f.partitionedUntil[i] = f.now.Add(7 * time.Second)
+			if s.partitioned()+s.weight[i] <= maxPartitioned {
+				s.partitionedUntil[i] = s.now.Add(7 * time.Second)
 			}
 		}
-		f.run(load, 12*time.Second)
+		s.run(load, 12*time.Second)
 		allowed := (small.Rate*window.Seconds()+small.Burst)*(1+over) + tolerated
-		if admitted := f.maxInWindow(); admitted > allowed {
-			t.Errorf("seed %d: %.0f in a window, %.0f are allowed", seed, admitted, allowed)
+		if admitted := s.maxInWindow(); admitted > allowed {
+			t.Errorf("seed %d: admitted %.0f in a window, want at most %.0f", seed, admitted, allowed)
 		}
 	}
 }
@@ -343,8 +343,8 @@
 		ttl         time.Duration
 		partitioned bool
 	}{
-		{"in place of a relay", allowance.RelayTTL, false},
-		{"always, and is cut off", allowance.ControllerTTL, true},
+		{"report in place of a relay", allowance.RelayTTL, false},
+		{"direct report of a partitioned host", allowance.ControllerTTL, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/pkg/allowance/levels.go
+++ b/pkg/allowance/levels.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// minReportedPart is the part of its allowance below which a host does not report the usage of
-	// an account.
+	// minReportedPart is the part of an account's allowance below which a host does not report the
+	// account's usage.
 	minReportedPart = 0.0001
 	// compensationTime is the time over which excess usage is compensated.
 	compensationTime = 1500 * time.Millisecond
@@ -24,11 +24,11 @@
 	// reachablePart is the part of burst and slack that reachable hosts may admit before an account
 	// has to compensate. The rest is for hosts that are partitioned, whose usage is not reported.
 	reachablePart = 0.15
-	// An account becomes near its limit when less than nearUnused of that part is unused. A single
-	// large request does not reach it if the allowance is large.
+	// nearUnused is the unused fraction of that headroom below which an account becomes near its
+	// limit.
 	nearUnused = 0.6
-	// An account is no longer near its limit when farUnused of that part is unused. It is larger
-	// than nearUnused to avoid flapping.
+	// farUnused is the unused fraction of that headroom from which on an account is no longer near
+	// its limit. It is larger than nearUnused to avoid flapping.
 	farUnused = 0.95
 	// maxExcess bounds the excess to compensate, in seconds of the allowance.
 	maxExcess = 4.0
@@ -52,6 +52,7 @@
 	admitted map[string]float64
 }
 
+// hostReport is the newest report of a host.
 type hostReport struct {
 	at    time.Time
 	ttl   time.Duration
@@ -123,7 +124,8 @@
 	excess map[string]float64
 	// near holds the accounts that are near their limits.
 	near map[string]bool
-	at   time.Time
+	// at is when Decide was last called.
+	at time.Time
 }
 
 // Tolerance is how much all hosts together may exceed an allowance within Window: by the part Excess
--- a/pkg/allowance/limiter.go
+++ b/pkg/allowance/limiter.go
@@ -279,10 +279,10 @@
 
 // ApplyLevels applies the levels as of the time asOf, and reports whether they are newer
 // than the known ones.
-func (l *Limiter) ApplyLevels(now, asOf time.Time, t fleet.AccountLevels) bool {
+func (l *Limiter) ApplyLevels(now, asOf time.Time, levels fleet.AccountLevels) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.levels.NewerThan(t) {
+	if l.levels.NewerThan(levels) {
 		return false
 	}
 	if l.updatedAt.IsZero() && now.Sub(asOf) >= staleAfter {
@@ -294,12 +294,12 @@
 	for _, u := range l.accounts {
 		u.confirmedRate = u.usualRate
 	}
-	if !t.NewerThan(l.levels) {
+	if !levels.NewerThan(l.levels) {
 		return false
 	}
-	l.levels = t
-	l.shares = make(map[string]float64, len(t.Levels))
-	for _, x := range t.Levels {
+	l.levels = levels
+	l.shares = make(map[string]float64, len(levels.Levels))
+	for _, x := range levels.Levels {
 		l.shares[x.Account] = x.Share
 	}
 	return true
--- a/pkg/signals/table.go
+++ b/pkg/signals/table.go
@@ -96,18 +96,18 @@
 // Observe applies the signals in the response to a request that was sent at the time sent. A
 // response without a rate ends the limit only if the endpoint ran the request (ran) and the request
 // was sent after the rate was learned, since responses may arrive late.
-func (t *Table) Observe(now time.Time, id fleet.EndpointID, a Response, sent time.Time, ran bool) {
-	changed, ok := t.observe(now, id, a, sent, ran)
+func (t *Table) Observe(now time.Time, id fleet.EndpointID, resp Response, sent time.Time, ran bool) {
+	changed, ok := t.observe(now, id, resp, sent, ran)
 	if ok && t.Changed != nil {
 		t.Changed(changed)
 	}
 }
 
-func (t *Table) observe(now time.Time, id fleet.EndpointID, a Response, sent time.Time, ran bool) (fleet.EndpointSignal, bool) {
+func (t *Table) observe(now time.Time, id fleet.EndpointID, resp Response, sent time.Time, ran bool) (fleet.EndpointSignal, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	// A later pause does not shorten an earlier one.
-	if until := now.Add(a.RetryAfter); a.RetryAfter > 0 && until.After(t.backoffUntil[id]) {
+	if until := now.Add(resp.RetryAfter); resp.RetryAfter > 0 && until.After(t.backoffUntil[id]) {
 		t.backoffUntil[id] = until
 	}
 	next := fleet.EndpointSignal{Endpoint: id}
@@ -115,12 +115,12 @@
 	if x != nil {
 		next = x.EndpointSignal
 	}
-	next.Draining = next.Draining || a.Draining
+	next.Draining = next.Draining || resp.Draining
 	switch {
-	case a.Rate != nil && !x.isCurrent(now, *a.Rate):
-		next.Limited, next.Rate = true, *a.Rate
+	case resp.Rate != nil && !x.isCurrent(now, *resp.Rate):
+		next.Limited, next.Rate = true, *resp.Rate
 		next.Version++
-	case a.Rate == nil && x != nil && x.Limited && ran && sent.After(x.learnedAt):
+	case resp.Rate == nil && x != nil && x.Limited && ran && sent.After(x.learnedAt):
 		next.Limited, next.Rate = false, 0
 		next.Version++
 	}
