--- a/pkg/fairqueue/queue.go
+++ b/pkg/fairqueue/queue.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// averageDivisor is the divisor of the weight of a new observation in a moving average.
+	// averageDivisor determines the weight of a new observation in a moving average, which is
+	// 1/averageDivisor.
 	averageDivisor = 8
 	// usageRetention is how long usage is reported after its last request has ended. It covers a
 	// few lost reports and a change of the pool's controller.
@@ -137,7 +138,7 @@
 	if removed {
 		return nil, refusal
 	}
-	// The request was answered concurrently.
+	// A slot was granted or the request was refused concurrently.
 	return q.finish(w, <-w.Result)
 }
 
@@ -248,7 +249,8 @@
 	u.grants = max(u.grants, least)
 }
 
-// grant gives free slots to waiting requests, by customer's share and deadline.
+// grant gives free slots to waiting requests, first to those of the customer with the fewest grants,
+// then by deadline.
 func (q *queue) grant(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -274,8 +276,8 @@
 	defer q.mu.Unlock()
 	q.trackLoad(now)
 	for customer, list := range q.waiting.InOrder() {
-		for rank, w := range list {
-			reason, retryAfter := admission.KeepWaiting(q.estimateInput(now, customer, rank), w.Deadline.Sub(now))
+		for position, w := range list {
+			reason, retryAfter := admission.KeepWaiting(q.estimateInput(now, customer, position), w.Deadline.Sub(now))
 			if reason != admission.ReasonNone {
 				q.refuseWaiting(now, w, reason, retryAfter)
 			}
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -369,7 +369,7 @@
 	})
 }
 
-// evictFor retires idle replicas on the endpoint where the fewest must go to fit the model.
+// evictFor retires idle replicas on the endpoint where the fewest must be retired to fit the model.
 // It retires none if memory that is already being released is enough.
 func (d *decider) evictFor(m *Model) {
 	if m.Waiting == 0 {
--- a/pkg/relay/aggregator.go
+++ b/pkg/relay/aggregator.go
@@ -10,15 +10,14 @@
 )
 
 const (
-	// childLife is how long a host's last report counts, three times the longest interval between
-	// two reports.
-	childLife = 800 * time.Millisecond
-	// seqLife is how long the sequence number of that report is kept to reject duplicates. It
+	// childTTL is how long a host's last report counts.
+	childTTL = 800 * time.Millisecond
+	// seqTTL is how long the sequence number of that report is kept to reject duplicates. It
 	// exceeds the time in which a duplicate may arrive.
-	seqLife = 10 * time.Second
+	seqTTL = 10 * time.Second
 )
 
-// needKey identifies what a report is about.
+// needKey identifies the service, model and adapter of a reported need.
 type needKey struct{ service, model, adapter string }
 
 func needKeyOf(n fleet.NeedReport) needKey { return needKey{n.Service, n.Model, n.Adapter} }
@@ -26,7 +25,7 @@
 // Aggregator aggregates the demand reports of the hosts behind a relay. Arrivals are counted as
 // they are reported and passed on once. Numbers of waiting and running requests are those of each
 // host's newest report; late and duplicate reports are ignored, and the last report to a relay that
-// a host has left expires after childLife. It is safe for concurrent use.
+// a host has left expires after childTTL. It is safe for concurrent use.
 type Aggregator struct {
 	mu       sync.Mutex
 	children map[string]*child
@@ -34,6 +33,7 @@
 	arrivals map[needKey]fleet.NeedReport
 }
 
+// child is the newest report of a host behind the relay.
 type child struct {
 	incarnation string
 	seq         int64
@@ -160,10 +160,10 @@
 
 func (s *Aggregator) expire(now time.Time) {
 	for host, c := range s.children {
-		if now.Sub(c.confirmedAt) > childLife {
+		if now.Sub(c.confirmedAt) > childTTL {
 			c.needs, c.unreachable, c.backoffRequested, c.heartbeats = nil, nil, nil, nil
 		}
-		if now.Sub(c.confirmedAt) > seqLife {
+		if now.Sub(c.confirmedAt) > seqTTL {
 			delete(s.children, host)
 		}
 	}
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -186,9 +186,9 @@
 		want            time.Time
 	}{
 		{"nothing has changed", false, false, 50 * time.Millisecond, at(350)},
-		{"a model that is waited for", true, true, 50 * time.Millisecond, at(100)},
-		{"another model", true, false, 50 * time.Millisecond, at(140)},
-		{"another model, at a busy relay", true, false, time.Second, at(350)},
+		{"an urgent change", true, true, 50 * time.Millisecond, at(100)},
+		{"a change that is not urgent", true, false, 50 * time.Millisecond, at(140)},
+		{"a change that is not urgent, at a busy relay", true, false, time.Second, at(350)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is.New(t).Equal(timing.RespondAt(c.changed, c.urgent, c.spacing), c.want)
--- a/pkg/relay/tree.go
+++ b/pkg/relay/tree.go
@@ -44,7 +44,7 @@
 // Upstreams returns the hosts that self asks, in order of preference; the last one is the
 // controller. Each host computes this from the list of hosts. A host asks only hosts that precede
 // it in the order of their zone, so there are no cycles. If the controller is unknown, relays are
-// used even if there are few hosts, since they learn first who it is.
+// used even if there are few hosts, since relays learn first which host it is.
 func Upstreams(self Member, controller Member, hosts []Member) []Member {
 	if controller.Name != "" && len(hosts) <= Children(controller.Cores) {
 		return []Member{controller}
--- a/pkg/residency/residency.go
+++ b/pkg/residency/residency.go
@@ -75,8 +75,8 @@
 	// OnTime is how many of the waiting requests can start in time if the model is loaded
 	// now.
 	OnTime int
-	// Due is when the missing model starts to delay requests: that of the earliest request
-	// that can still be in time, or of the earliest of all if none can.
+	// Due is when the missing model starts to delay requests. It is the due time of the
+	// earliest request that can still be in time, or of the earliest of all if none can.
 	Due time.Time
 	// FastRate and SlowRate are moving averages in requests per second, over a short and a longer
 	// window.
--- a/pkg/residency/shortfall.go
+++ b/pkg/residency/shortfall.go
@@ -10,7 +10,8 @@
 type shortfall struct {
 	model *Model
 	// due is when the missing replica starts to delay requests.
-	due  time.Time
+	due time.Time
+	// cold is set if requests wait for the model and it has no replica.
 	cold bool
 	// late is set if none of the waiting requests can start in time.
 	late bool
