--- a/pkg/orders/adapters.go
+++ b/pkg/orders/adapters.go
@@ -72,6 +72,7 @@
 	c.tasks.Go(func() { c.loadAdapter(ctx, best, token, model, name, victim) })
 }
 
+// fitResult is whether an endpoint can load an adapter.
 type fitResult int
 
 const (
--- a/pkg/orders/claim.go
+++ b/pkg/orders/claim.go
@@ -38,7 +38,8 @@
 	// suspendThreshold is the gap between two readings of the boot time clock from which
 	// the host counts as suspended in between.
 	suspendThreshold = 500 * time.Millisecond
-	// noHeartbeat is returned if no heartbeat was received. It is longer than any timeout.
+	// noHeartbeat is what SinceHeartbeat returns if no heartbeat was received. It is longer
+	// than any timeout.
 	noHeartbeat = time.Hour
 )
 
@@ -60,8 +61,10 @@
 	silentSince   time.Time
 	lastHeartbeat time.Time
 	lastAttempt   time.Time
-	held          int64
-	ordersFrom    time.Time
+	// held is the token of this host's claim, or 0. ordersFrom is the earliest time
+	// at which it may send orders.
+	held       int64
+	ordersFrom time.Time
 	// needsConfirm is set after a suspend until the store confirms that the claim is still
 	// the newest.
 	needsConfirm bool
@@ -119,8 +122,8 @@
 }
 
 // RecordHeartbeat records a heartbeat of the holder of a token. at is when the heartbeat was first
-// received, possibly by another host. Hosts that forwarded it with a newer time would keep
-// a dead holder alive.
+// received, possibly by another host. Hosts must forward it with that time: heartbeats that
+// become newer on the way would make a dead holder seem alive.
 func (e *Election) RecordHeartbeat(at time.Time, token int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -151,7 +154,7 @@
 }
 
 // vacant reports whether no host can send orders under the newest claim. It must be called
-// with mu held.
+// with e.mu held.
 func (e *Election) vacant() bool {
 	h := e.newest.Holder
 	return e.newest.Token == 0 || h.Released || h.Host == e.self.Host || e.deadToken == e.newest.Token
@@ -200,7 +203,7 @@
 // acceptClaim makes this host the holder. The former holder may send orders until its lease
 // has expired, counted from its last heartbeat. A former holder that this host cannot reach
 // may have read the store just before this claim, so the new holder also waits for
-// handoffDelay. It must be called with mu held.
+// handoffDelay. It must be called with e.mu held.
 func (e *Election) acceptClaim(now time.Time, token int64) {
 	// A claim that this host has given up is not newer than the newest known one.
 	if token <= e.newest.Token {
@@ -232,7 +235,8 @@
 	return e.held
 }
 
-// HeldToken returns the token of this host's claim, or 0. Orders must use Token instead.
+// HeldToken returns the token of this host's claim, or 0. Orders must use OrderToken
+// instead.
 func (e *Election) HeldToken() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -37,15 +37,14 @@
 	loadMargin = 15 * time.Millisecond
 	// loadPollInterval is the interval between reports while a load is not confirmed.
 	loadPollInterval = 120 * time.Millisecond
-	// unconfirmedReadyIn is the time until a model is ready that other hosts are given
-	// while its load is not confirmed. It exceeds reportLag.
+	// unconfirmedReadyIn is the time until a model is ready that is sent to other hosts while
+	// the load is not confirmed. It exceeds reportLag.
 	unconfirmedReadyIn = 300 * time.Millisecond
 	// unloadTime is how long an endpoint takes to unload an idle model.
 	unloadTime = 62 * time.Millisecond
 	// adapterLoadTime is how long after its order an adapter can be used.
 	adapterLoadTime = 12 * time.Millisecond
-	// ratePerReplica is how many requests per second one replica should serve, about half
-	// of what an endpoint can handle.
+	// ratePerReplica is how many requests per second one replica should serve.
 	ratePerReplica = 15
 )
 
--- a/pkg/orders/demand.go
+++ b/pkg/orders/demand.go
@@ -86,7 +86,7 @@
 		}
 		return
 	}
-	// Of an outdated report only the arrivals count.
+	// Only the arrivals of an outdated report count.
 	if !known || report.Seq >= old.seq {
 		d.hosts[report.Host] = hostDemand{at: now, seen: now, incarnation: report.Incarnation, seq: report.Seq, needs: report.Needs}
 	}
--- a/pkg/orders/endpointtracker.go
+++ b/pkg/orders/endpointtracker.go
@@ -70,9 +70,9 @@
 }
 
 // reachability is the state of the connections to an endpoint. An endpoint is lost when
-// this host and another one cannot connect, so that a controller that is cut off alone does
-// not take it away from the others. The models of a lost endpoint are loaded elsewhere,
-// without waiting until the list drops it.
+// this host and another one cannot connect, so that a partitioned controller does not
+// exclude endpoints that other hosts can reach. The models of a lost endpoint are loaded
+// elsewhere, without waiting until the list drops it.
 type reachability struct {
 	// failed is set while this host cannot connect. reported is when another host last
 	// failed to connect. lost is set once both apply, until the endpoint responds.
--- a/pkg/orders/engine_test.go
+++ b/pkg/orders/engine_test.go
@@ -86,7 +86,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.silent {
-		return fleet.Report{}, errors.New("no answer")
+		return fleet.Report{}, errors.New("no response")
 	}
 	if e.down {
 		return fleet.Report{}, orders.ErrUnreachable
--- a/pkg/orders/holderlease.go
+++ b/pkg/orders/holderlease.go
@@ -9,13 +9,14 @@
 	// leaseMargin is subtracted from leases granted by other hosts. It covers orderTimeout
 	// and a retransmission.
 	leaseMargin = orderTimeout + 250*time.Millisecond
-	// storeLeaseDivisor sets how long a read of the store counts, as a fraction of the
-	// lease.
+	// storeLeaseDivisor is the ratio of the lease to the time for which a read of the store
+	// counts.
 	storeLeaseDivisor = 2
 )
 
 // HolderLease decides whether the holder of a claim may send orders to endpoints that do
-// not check fencing tokens. It may while it is certain that no other host does:
+// not check fencing tokens. It may while one of these conditions ensures that no other host
+// does:
 //
 //   - it has read the store within storeLeaseTime, or another host that knew no newer claim
 //     has; or
@@ -24,7 +25,7 @@
 //     so each acknowledgment grants the holder a lease. Unknown hosts have granted none, so
 //     a message from one suspends this rule.
 //
-// Acknowledgments let a holder that is cut off from the store continue to send orders.
+// Acknowledgments let a holder that cannot reach the store continue to send orders.
 // HolderLease is safe for concurrent use.
 type HolderLease struct {
 	lease time.Duration
@@ -56,17 +57,17 @@
 }
 
 // RecordAck records another host's response to a notice of the holder of a token.
-func (l *HolderLease) RecordAck(token int64, a NoticeResponse) {
+func (l *HolderLease) RecordAck(token int64, resp NoticeResponse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reset(token)
-	if a.Token != token {
+	if resp.Token != token {
 		return
 	}
-	if a.Sent.After(l.granted[a.Host]) {
-		l.granted[a.Host] = a.Sent
+	if resp.Sent.After(l.granted[resp.Host]) {
+		l.granted[resp.Host] = resp.Sent
 	}
-	if read := a.Sent.Add(-a.StoreAge); read.After(l.storeRead) {
+	if read := resp.Sent.Add(-resp.StoreAge); read.After(l.storeRead) {
 		l.storeRead = read
 	}
 }
--- a/pkg/orders/holderlease_test.go
+++ b/pkg/orders/holderlease_test.go
@@ -23,16 +23,16 @@
 		unknown   bool
 		now       time.Duration
 		storeAge  time.Duration
-		may       bool
+		want      bool
 	}{
-		{name: "store read recently", now: time.Second, storeAge: time.Second, may: true},
+		{name: "store read recently", now: time.Second, storeAge: time.Second, want: true},
 		{name: "no acknowledgment", now: time.Second, storeAge: longAgo},
-		{name: "acknowledged by all hosts", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo), response("c", 100*time.Millisecond, 1, longAgo)}, now: 2 * time.Second, storeAge: longAgo, may: true},
+		{name: "acknowledged by all hosts", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo), response("c", 100*time.Millisecond, 1, longAgo)}, now: 2 * time.Second, storeAge: longAgo, want: true},
 		{name: "one host missing", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo)}, now: time.Second, storeAge: longAgo},
 		{name: "one acknowledgment expired", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo), response("c", 2*time.Second, 1, longAgo)}, now: 3 * time.Second, storeAge: longAgo},
 		{name: "one host knows a newer claim", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo), response("c", 0, 2, longAgo)}, now: time.Second, storeAge: longAgo},
 		{name: "message from an unknown host", responses: []orders.NoticeResponse{response("b", 0, 1, longAgo), response("c", 0, 1, longAgo)}, unknown: true, now: time.Second, storeAge: longAgo},
-		{name: "store read recently by another host", responses: []orders.NoticeResponse{response("b", 0, 1, time.Second)}, now: 400 * time.Millisecond, storeAge: longAgo, may: true},
+		{name: "store read recently by another host", responses: []orders.NoticeResponse{response("b", 0, 1, time.Second)}, now: 400 * time.Millisecond, storeAge: longAgo, want: true},
 		{name: "store read by another host expired", responses: []orders.NoticeResponse{response("b", 0, 1, time.Second)}, now: 600 * time.Millisecond, storeAge: longAgo},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 			for _, a := range c.responses {
 				l.RecordAck(1, a)
 			}
-			is.Equal(l.Valid(at(c.now), 1, c.storeAge, []string{"b", "c"}), c.may)
+			is.Equal(l.Valid(at(c.now), 1, c.storeAge, []string{"b", "c"}), c.want)
 			is.Equal(l.Valid(at(c.now), 2, longAgo, []string{"b", "c"}), false) // no grants for another claim
 		})
 	}
@@ -54,7 +54,7 @@
 // fencing tokens. Hosts lose connections to each other and to the store in any order.
 func TestHoldersDoNotOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newLeaseWorld()
+		w := newLeaseSimulation()
 		for range 40 {
 			w.change(t)
 			for range rapid.IntRange(1, 20).Draw(t, "ticks") {
@@ -72,29 +72,30 @@
 	inFlight = 250 * time.Millisecond
 )
 
-// leaseHost is a host of a leaseWorld.
+// leaseHost is a host of a leaseSimulation.
 type leaseHost struct {
 	name           string
 	election       *orders.Election
 	lease          *orders.HolderLease
 	storeRead      time.Time
 	storeReachable bool
-	won            time.Time
+	heldSince      time.Time
 	held           int64
 }
 
-type leaseWorld struct {
+type leaseSimulation struct {
 	now   time.Time
 	ticks int
 	hosts []*leaseHost
-	cut   map[[2]string]bool
-	claim orders.Claim
+	// partitioned holds the pairs of hosts that cannot reach each other.
+	partitioned map[[2]string]bool
+	claim       orders.Claim
 	// lastOrder is when the last order with each token was sent.
 	lastOrder map[int64]time.Time
 }
 
-func newLeaseWorld() *leaseWorld {
-	w := &leaseWorld{now: start, cut: map[[2]string]bool{}, lastOrder: map[int64]time.Time{}}
+func newLeaseSimulation() *leaseSimulation {
+	w := &leaseSimulation{now: start, partitioned: map[[2]string]bool{}, lastOrder: map[int64]time.Time{}}
 	for _, name := range []string{"a", "b", "c"} {
 		w.hosts = append(w.hosts, &leaseHost{
 			name:           name,
@@ -108,7 +109,7 @@
 }
 
 // change toggles the connection between two hosts or between a host and the store.
-func (w *leaseWorld) change(t *rapid.T) {
+func (w *leaseSimulation) change(t *rapid.T) {
 	a := rapid.SampledFrom(w.hosts).Draw(t, "host")
 	b := rapid.SampledFrom(w.hosts).Draw(t, "peer")
 	if a == b {
@@ -116,14 +117,14 @@
 		return
 	}
 	key := linkOf(a, b)
-	w.cut[key] = !w.cut[key]
+	w.partitioned[key] = !w.partitioned[key]
 }
 
 func linkOf(a, b *leaseHost) [2]string {
 	return [2]string{min(a.name, b.name), max(a.name, b.name)}
 }
 
-func (w *leaseWorld) tick(t *rapid.T) {
+func (w *leaseSimulation) tick(t *rapid.T) {
 	w.now = w.now.Add(tick)
 	w.ticks++
 	for _, h := range w.hosts {
@@ -132,11 +133,11 @@
 			h.election.Observe(w.now, w.claim)
 			h.election.CaughtUp()
 		}
-		if h.election.ShouldClaim(w.now) && (h.election.Vacant() || !w.heardElsewhere(h)) {
+		if h.election.ShouldClaim(w.now) && (h.election.Vacant() || !w.otherHostHasHeartbeat(h)) {
 			w.claimNow(h)
 		}
 		if held := h.election.HeldToken(); held != h.held {
-			h.held, h.won = held, w.now
+			h.held, h.heldSince = held, w.now
 		}
 		if h.held != 0 && w.ticks%noticeEvery == 0 {
 			w.notice(h)
@@ -145,9 +146,9 @@
 	}
 }
 
-func (w *leaseWorld) heardElsewhere(h *leaseHost) bool {
+func (w *leaseSimulation) otherHostHasHeartbeat(h *leaseHost) bool {
 	for _, p := range w.hosts {
-		if p != h && !w.cut[linkOf(h, p)] && p.election.SinceHeartbeat(w.now) < 700*time.Millisecond {
+		if p != h && !w.partitioned[linkOf(h, p)] && p.election.SinceHeartbeat(w.now) < 700*time.Millisecond {
 			return true
 		}
 	}
@@ -155,7 +156,7 @@
 }
 
 // claimNow appends a claim if the host has read all earlier ones.
-func (w *leaseWorld) claimNow(h *leaseHost) {
+func (w *leaseSimulation) claimNow(h *leaseHost) {
 	if !h.storeReachable || h.election.Newest().Token != w.claim.Token {
 		return
 	}
@@ -163,9 +164,9 @@
 	h.election.ClaimAppended(w.now, w.claim.Token)
 }
 
-func (w *leaseWorld) notice(h *leaseHost) {
+func (w *leaseSimulation) notice(h *leaseHost) {
 	for _, p := range w.hosts {
-		if p == h || w.cut[linkOf(h, p)] {
+		if p == h || w.partitioned[linkOf(h, p)] {
 			continue
 		}
 		p.election.Observe(w.now, orders.Claim{Holder: holder(h.name), Token: h.held})
@@ -178,7 +179,7 @@
 
 // order sends an order if the host may and checks that it cannot overlap with one that has
 // another token.
-func (w *leaseWorld) order(t *rapid.T, h *leaseHost) {
+func (w *leaseSimulation) order(t *rapid.T, h *leaseHost) {
 	var others []string
 	for _, p := range w.hosts {
 		if p != h {
@@ -186,7 +187,7 @@
 		}
 	}
 	token := h.election.OrderToken(w.now)
-	if token == 0 || w.now.Sub(h.won) < warmup || !h.lease.Valid(w.now, token, w.now.Sub(h.storeRead), others) {
+	if token == 0 || w.now.Sub(h.heldSince) < warmup || !h.lease.Valid(w.now, token, w.now.Sub(h.storeRead), others) {
 		return
 	}
 	for other, last := range w.lastOrder {
--- a/pkg/orders/send_test.go
+++ b/pkg/orders/send_test.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// Guards against mistaking another holder's order for its own after a lost response,
-// and so not counting the model that it loaded.
+// Guards against a controller that mistakes another holder's order for its own after a lost
+// response, and so does not count the model that the other order loaded.
 func TestForeignOrderIsNotMistakenForOwn(t *testing.T) {
 	run(t, func(ctx context.Context) {
 		is := is.NewRelaxed(t)
--- a/pkg/orders/unansweredload.go
+++ b/pkg/orders/unansweredload.go
@@ -26,9 +26,9 @@
 // A delayed load order may arrive after the endpoint has restarted under its name and reset
 // its order sequence. Once the new incarnation has accepted as many orders as the load
 // expects, it executes the load in addition to the models that it already holds and runs
-// out of memory. A new incarnation therefore keeps memory free for the load until its
-// sequence has passed. Within one incarnation an order with the same expected sequence
-// excludes the load.
+// out of memory. The controller therefore reserves memory for the load at a new incarnation
+// until its sequence has passed that of the load. Within one incarnation an order with the
+// same expected sequence excludes the load.
 type unansweredLoads struct {
 	mu     sync.Mutex
 	byName map[string][]unansweredLoad
@@ -67,7 +67,7 @@
 	return most
 }
 
-// reservedMB returns the memory that an endpoint keeps free for loads sent to its former
+// reservedMB returns the memory that is reserved at an endpoint for loads sent to its former
 // incarnations.
 func (c *Controller) reservedMB(now time.Time, t *endpointTracker) float64 {
 	t.mu.Lock()
