--- a/pkg/fairqueue/fairqueue.go
+++ b/pkg/fairqueue/fairqueue.go
@@ -64,20 +64,20 @@
 	cfg Config
 
 	mu     sync.RWMutex
-	queues map[key]*queue
+	queues map[queueKey]*queue
 }
 
-type key struct {
+type queueKey struct {
 	kind        contract.Kind
 	pool, model string
 }
 
 // NewQueues returns a Queues without requests.
-func NewQueues(cfg Config) *Queues { return &Queues{cfg: cfg, queues: map[key]*queue{}} }
+func NewQueues(cfg Config) *Queues { return &Queues{cfg: cfg, queues: map[queueKey]*queue{}} }
 
 // queue returns the queue of a model, which it creates if there is none.
 func (s *Queues) queue(m contract.Model) *queue {
-	k := key{m.Kind, m.Pool, m.Name}
+	k := queueKey{m.Kind, m.Pool, m.Name}
 	s.mu.RLock()
 	q := s.queues[k]
 	s.mu.RUnlock()
@@ -161,9 +161,9 @@
 // RecordLoad records an engine's load report for one of its replicas.
 func (s *Queues) RecordLoad(now time.Time, pool, model, replica string, running int) {
 	s.mu.RLock()
-	q := s.queues[key{contract.Base, pool, model}]
+	q := s.queues[queueKey{contract.Base, pool, model}]
 	if q == nil {
-		q = s.queues[key{contract.Adapter, pool, model}]
+		q = s.queues[queueKey{contract.Adapter, pool, model}]
 	}
 	s.mu.RUnlock()
 	if q != nil {
--- a/pkg/fairqueue/queue.go
+++ b/pkg/fairqueue/queue.go
@@ -249,8 +249,8 @@
 	u.grants = max(u.grants, least)
 }
 
-// grant gives free slots to waiting requests, first to those of the customer with the fewest grants,
-// then by deadline.
+// grant gives free slots to waiting requests, first to those of the customer with the fewest
+// grants, then by deadline.
 func (q *queue) grant(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -324,8 +324,8 @@
 	return old + (observed-old)/averageDivisor
 }
 
-// estimateInput returns the input for estimating whether a customer's request can be served in time,
-// with the number of its own requests ahead of it.
+// estimateInput returns the input for estimating whether a customer's request can be served in
+// time, with the number of its own requests ahead of it.
 func (q *queue) estimateInput(now time.Time, customer string, ahead int) admission.EstimateInput {
 	s := admission.EstimateInput{
 		Slots:       q.share(customer, len(q.targets())*q.limits.Concurrency),
--- a/pkg/quarantine/blocklist.go
+++ b/pkg/quarantine/blocklist.go
@@ -17,8 +17,8 @@
 	maxBlocks = 512
 )
 
-// Blocklist holds the blocked requests and the trials of suspect requests. It is safe for concurrent
-// use.
+// Blocklist holds the blocked requests and the trials of suspect requests. It is safe for
+// concurrent use.
 type Blocklist struct {
 	mu sync.Mutex
 	// blockedAt maps each blocked request to when it was blocked, in Unix seconds.
--- a/pkg/quarantine/crashlog.go
+++ b/pkg/quarantine/crashlog.go
@@ -348,9 +348,9 @@
 	return out
 }
 
-// Attributed returns, by content, the reports of the crashes that are attributed to it. A content is
-// included only if include returns true both for the number of all its crashes and for the number
-// of those attributed to it.
+// Attributed returns, by content, the reports of the crashes that are attributed to it. A content
+// is included only if include returns true both for the number of all its crashes and for the
+// number of those attributed to it.
 func (l *CrashLog) Attributed(now time.Time, include func(content uint64, crashes int) bool) map[uint64][]fleet.CrashReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/quarantine/probe.go
+++ b/pkg/quarantine/probe.go
@@ -214,7 +214,7 @@
 	return time.Duration(float64(span) * float64(h.Sum32()) / math.MaxUint32)
 }
 
-// UpdateTrials clears the suspects of which this host has served a copy, and releases unused grants.
+// UpdateTrials clears the suspects that this host has served, and releases unused grants.
 func (g *Guard) UpdateTrials(now time.Time) {
 	for content, t := range g.Blocklist.openTrials() {
 		g.clearIfServed(now, content, t)
--- a/pkg/quarantine/responses.go
+++ b/pkg/quarantine/responses.go
@@ -18,8 +18,8 @@
 	sentAt, completedAt time.Time
 }
 
-// recentResponses holds recently answered copies by content. A copy that was answered after the last
-// crash clears a suspect without a probe. It is safe for concurrent use.
+// recentResponses holds recently answered copies by content. A copy that was answered after the
+// last crash clears a suspect without a probe. It is safe for concurrent use.
 type recentResponses struct {
 	mu sync.Mutex
 	// current and previous hold, in two generations of responseRetention, the copy of each content
--- a/pkg/quarantine/runs.go
+++ b/pkg/quarantine/runs.go
@@ -127,7 +127,8 @@
 	return out
 }
 
-// RecordAlive records that the endpoint was found alive and discards the runs that broke off before.
+// RecordAlive records that the endpoint was found alive and discards the runs that broke off
+// before.
 func (r *RecentRuns) RecordAlive(now time.Time, id fleet.EndpointID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-// Each host asks a relay or a fallback. Every chain of upstreams must end at the controller,
+// Each host polls a relay or a fallback. Every chain of upstreams must end at the controller,
 // without cycles and without overloading a relay.
 func TestUpstreamsEndAtController(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -66,14 +66,14 @@
 		for _, h := range hosts {
 			// The choice by hash is uneven, so some relays get more than their share.
 			if limit := 2*relay.Children(h.Cores) + 8; h.Name != controller.Name && load[h.Name] > limit {
-				t.Fatalf("%d hosts ask %+v, want at most %d", load[h.Name], h, limit)
+				t.Fatalf("%d hosts poll %+v, want at most %d", load[h.Name], h, limit)
 			}
 		}
 	})
 }
 
-// With few hosts, all ask the controller directly.
-func TestFewHostsAskControllerDirectly(t *testing.T) {
+// With few hosts, all poll the controller directly.
+func TestFewHostsPollControllerDirectly(t *testing.T) {
 	is := is.New(t)
 	var hosts []relay.Member
 	for i := range 9 {
--- a/pkg/relay/tree.go
+++ b/pkg/relay/tree.go
@@ -2,8 +2,8 @@
 // aggregates the demand reports that hosts send in return. It does no I/O.
 //
 // With hundreds of hosts and models, messages between each host and the controller would grow with
-// hosts times events, and most of them would cross availability zones. Therefore hosts ask relays
-// in their own zone, and the relays ask the controller.
+// hosts times events, and most of them would cross availability zones. Therefore hosts poll
+// relays in their own zone, and the relays poll the controller.
 package relay
 
 import (
@@ -19,8 +19,8 @@
 	minChildren = 8
 	// defaultCores is assumed for a host that does not state its number of cores.
 	defaultCores = 0.2
-	// fallbackRelays is the number of fallback relays that a host tries before it asks the
-	// controller.
+	// fallbackRelays is the number of fallback relays that a host tries before it polls
+	// the controller.
 	fallbackRelays = 2
 )
 
@@ -41,8 +41,8 @@
 	return max(minChildren, int(childrenPerCore*cores))
 }
 
-// Upstreams returns the hosts that self asks, in order of preference; the last one is the
-// controller. Each host computes this from the list of hosts. A host asks only hosts that precede
+// Upstreams returns the hosts that self polls, in order of preference; the last one is the
+// controller. Each host computes this from the list of hosts. A host polls only hosts that precede
 // it in the order of their zone, so there are no cycles. If the controller is unknown, relays are
 // used even if there are few hosts, since relays learn first which host it is.
 func Upstreams(self Member, controller Member, hosts []Member) []Member {
