--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -42,7 +42,7 @@
 	levels   *allowance.Levels
 	inFlight []message
 	account  fleet.Account
-	// weight is the part of the callers at each host, partitionedUntil until when each host is
+	// weight is the fraction of the callers at each host, partitionedUntil until when each host is
 	// partitioned.
 	weight           []float64
 	partitionedUntil []time.Time
@@ -236,11 +236,11 @@
 	}
 }
 
-// maxPartitioned is the largest part of the callers whose hosts are partitioned in these tests.
+// maxPartitioned is the largest fraction of the callers whose hosts are partitioned in these tests.
 // Beyond it, what the hosts admit before they detect the partition may exceed the bound.
 const maxPartitioned = 0.4
 
-// partitioned returns the part of the callers whose hosts are partitioned.
+// partitioned returns the fraction of the callers whose hosts are partitioned.
 func (s *simulation) partitioned() float64 {
 	sum := 0.0
 	for i, until := range s.partitionedUntil {
--- a/pkg/allowance/levels.go
+++ b/pkg/allowance/levels.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// minReportedPart is the part of an account's allowance below which a host does not report the
-	// account's usage.
-	minReportedPart = 0.0001
+	// minReportedFraction is the fraction of an account's allowance below which a host does not
+	// report the account's usage.
+	minReportedFraction = 0.0001
 	// compensationTime is the time over which excess usage is compensated.
 	compensationTime = 1500 * time.Millisecond
-	// minPart is the least part of its allowance that an account keeps while its excess is
+	// minFraction is the least fraction of its allowance that an account keeps while its excess is
 	// compensated.
-	minPart = 0.4
-	// steadyTolerance is the part of the tolerance that an account may use permanently.
+	minFraction = 0.4
+	// steadyTolerance is the fraction of the tolerance that an account may use permanently.
 	steadyTolerance = 0.35
-	// reachablePart is the part of burst and slack that reachable hosts may admit before an account
-	// has to compensate. The rest is for hosts that are partitioned, whose usage is not reported.
-	reachablePart = 0.15
+	// reachableFraction is the fraction of burst and slack that reachable hosts may admit before an
+	// account has to compensate. The rest is for hosts that are partitioned, whose usage is not
+	// reported.
+	reachableFraction = 0.15
 	// nearUnused is the unused fraction of that headroom below which an account becomes near its
 	// limit.
 	nearUnused = 0.6
@@ -128,8 +129,8 @@
 	at time.Time
 }
 
-// Tolerance is how much all hosts together may exceed an allowance within Window: by the part Excess
-// of it plus Slack units. It covers the delay until hosts learn of each other's usage.
+// Tolerance is how much all hosts together may exceed an allowance within Window: by the fraction
+// Excess of it plus Slack units. It covers the delay until hosts learn of each other's usage.
 type Tolerance struct {
 	Excess float64
 	Slack  float64
@@ -183,11 +184,11 @@
 	return l.last
 }
 
-// share returns the factor of its usual rate that an account may use, and whether it has to be
+// share returns the multiple of its usual rate that an account may use, and whether it has to be
 // published.
 func (l *Levels) share(a fleet.Allowance, name string, u fleet.AccountUsage, dt float64) (float64, bool) {
 	rate := l.tolerance.steadyRate(a)
-	headroom := reachablePart * (a.Burst + l.tolerance.Slack)
+	headroom := reachableFraction * (a.Burst + l.tolerance.Slack)
 	excess, known := l.excess[name]
 	if !known {
 		excess = -headroom
@@ -205,8 +206,8 @@
 	if !l.near[name] || u.RequestedRate <= 0 {
 		return 0, false
 	}
-	budget := max(minPart*rate, rate-excess/compensationTime.Seconds())
-	return max(budget-u.UnreportedRate, minPart*budget) / u.RequestedRate, true
+	budget := max(minFraction*rate, rate-excess/compensationTime.Seconds())
+	return max(budget-u.UnreportedRate, minFraction*budget) / u.RequestedRate, true
 }
 
 // aboutEqual reports whether the levels are about equal.
--- a/pkg/allowance/limiter.go
+++ b/pkg/allowance/limiter.go
@@ -4,9 +4,9 @@
 // The callers of an account connect to a few hosts, unevenly, and at times send many times their
 // usual rate. Equal shares per host would refuse most of what such an account may use. Therefore
 // hosts report the usage they observe, and the controller publishes which accounts are near their
-// limits (Levels). Of these, each host admits a share in proportion to the usual rate there, less
-// what was admitted in excess before. Of all other accounts it admits some more than the usual
-// rate, enough until the controller learns of a sudden rise (Limiter).
+// limits (Levels). For each of these, a host admits a share in proportion to the usual rate there,
+// less what was admitted in excess before. For all other accounts it admits somewhat more than the
+// usual rate, enough until the controller learns of a sudden rise (Limiter).
 package allowance
 
 import (
@@ -24,31 +24,31 @@
 	// of hosts stable for accounts with a few requests a second.
 	fastTimeConstant = 400 * time.Millisecond
 	slowTimeConstant = 3 * time.Second
-	// farFactor is the factor of its usual rate that a host admits of an account that is far from
-	// its limit, and farAccrual the time for which unused parts of that accumulate.
+	// farFactor is the multiple of its usual rate that a host admits for an account that is far
+	// from its limit. farAccrual is the time for which unused parts of that accumulate.
 	farFactor  = 1.8
 	farAccrual = 2 * time.Second
-	// newFactor is the factor of the whole allowance that a host admits of an account until its
+	// newFactor is the multiple of the whole allowance that a host admits for an account until its
 	// usual rate is known.
 	newFactor = 4
-	// largeRequestPart is the part of the bucket's capacity that suffices to admit a request of
-	// higher cost.
-	largeRequestPart = 0.5
+	// largeRequestFraction is the fraction of the bucket's capacity that suffices to admit a
+	// request of higher cost.
+	largeRequestFraction = 0.5
 	// staleAfter is how long after the last update a host continues as before. After that it may
 	// be partitioned and admits only a little more than the usual rate.
 	staleAfter = 700 * time.Millisecond
-	// staleFactor is the factor of the usual rate that it admits then.
+	// staleFactor is the multiple of the usual rate that such a host admits.
 	staleFactor = 1.2
 	// expiredAfter is how long after the last update a host falls back to an equal share. From
 	// then on its share is divided among the other hosts.
 	expiredAfter = 8 * time.Second
-	// initialFactor is the factor of an equal share that a host has before its first update, and
-	// initialAccrual the time for which unused parts of it accumulate.
+	// initialFactor is the multiple of an equal share that a host admits before its first update.
+	// initialAccrual is the time for which unused parts of it accumulate.
 	initialFactor  = 1.2
 	initialAccrual = time.Second
-	// equalPart is the part of an allowance that is divided equally, so that a host without usual
-	// callers of the account does not refuse all of them.
-	equalPart = 0.05
+	// equalFraction is the fraction of an allowance that is divided equally, so that a host without
+	// usual callers of the account does not refuse all of them.
+	equalFraction = 0.05
 	// shareAccrual is the time for which unused parts of a share accumulate.
 	shareAccrual = 1200 * time.Millisecond
 	// debtTime bounds the debt of a bucket after requests that cost more than its share of a
@@ -62,8 +62,8 @@
 	maxRetryAfter = 4 * time.Second
 	// idleTimeout is how long an account is kept without requests.
 	idleTimeout = 30 * time.Second
-	// minRise is the part of its allowance by which the rate of an account has to rise at one host
-	// to be reported at once.
+	// minRise is the fraction of its allowance by which the rate of an account has to rise at one
+	// host to be reported at once.
 	minRise = 0.03
 )
 
@@ -182,7 +182,7 @@
 // needs to be admitted; the usual rate counts its full cost.
 func (l limit) charge(cost float64) float64 {
 	if l.maxDebt == 0 {
-		return min(cost, largeRequestPart*l.capacity)
+		return min(cost, largeRequestFraction*l.capacity)
 	}
 	return cost
 }
@@ -190,7 +190,7 @@
 // deficit returns what the bucket lacks to admit a request, 0 if nothing. A request that costs more
 // than the capacity allows needs only a part of it.
 func (l limit) deficit(tokens, cost float64) float64 {
-	return max(0, min(cost, largeRequestPart*l.capacity)-tokens)
+	return max(0, min(cost, largeRequestFraction*l.capacity)-tokens)
 }
 
 // fill refills the bucket for the time since it was last updated.
@@ -210,9 +210,9 @@
 	case age >= expiredAfter:
 		return newLimit(equal, shareAccrual, staleDebtTime)
 	case near:
-		part := newLimit((1-equalPart)*share*u.confirmedRate+equalPart*equal, shareAccrual, debtTime)
-		part.near = true
-		return part
+		lim := newLimit((1-equalFraction)*share*u.confirmedRate+equalFraction*equal, shareAccrual, debtTime)
+		lim.near = true
+		return lim
 	case age >= staleAfter:
 		return newLimit(max(equal, staleFactor*u.servedRate()), shareAccrual, staleDebtTime)
 	case now.Sub(u.firstSeen) < slowTimeConstant:
@@ -261,7 +261,7 @@
 		u.fill(now, l.limit(now, account, u))
 		u.decay(now)
 		u.reportedRate = u.fastRate
-		if u.usualRate < minReportedPart*u.allowance.Rate && u.admitted <= 0 {
+		if u.usualRate < minReportedFraction*u.allowance.Rate && u.admitted <= 0 {
 			continue
 		}
 		out = append(out, fleet.AccountUsage{Account: account, RequestedRate: u.usualRate, AdmittedRate: u.admittedRate, Admitted: u.admitted})
--- a/pkg/signals/bucket.go
+++ b/pkg/signals/bucket.go
@@ -112,7 +112,7 @@
 // baseSharingHosts + sharingHostsPerRate x rate such hosts, all of them together send at most
 // baseSharingHosts + (sharingHostsPerRate + span) x rate. For the window of four seconds in which
 // endpoints count, that is within one and a half times the rate and five requests.
-func (t *Table) share(x *state) float64 {
+func (t *Table) share(x *endpointState) float64 {
 	rate := max(x.Rate, minRate)
 	sharing := int(baseSharingHosts + sharingHostsPerRate*rate)
 	if len(t.hosts) <= sharing {
--- a/pkg/signals/table.go
+++ b/pkg/signals/table.go
@@ -36,15 +36,15 @@
 	Rate *float64
 	// Draining is set if the endpoint is shutting down.
 	Draining bool
-	// RetryAfter is how long the endpoint accepts no requests from this host, 0 for no pause.
+	// RetryAfter is how long the endpoint accepts no requests from this host, 0 for no backoff.
 	RetryAfter time.Duration
 }
 
 // Table holds the signals of all endpoints. It is safe for concurrent use.
 type Table struct {
 	mu         sync.Mutex
-	byEndpoint map[fleet.EndpointID]*state
-	// backoffUntil is when the pause of each endpoint ends.
+	byEndpoint map[fleet.EndpointID]*endpointState
+	// backoffUntil is when the backoff for each endpoint ends.
 	backoffUntil map[fleet.EndpointID]time.Time
 	// requests counts this host's recent requests to each endpoint.
 	requests map[fleet.EndpointID]*requestCounter
@@ -59,8 +59,8 @@
 	Changed func(fleet.EndpointSignal)
 }
 
-// state is the state of one endpoint.
-type state struct {
+// endpointState holds the signals of one endpoint and the bucket for its rate.
+type endpointState struct {
 	fleet.EndpointSignal
 	bucket
 	// learnedAt is when this host learned of the current rate.
@@ -68,14 +68,14 @@
 }
 
 // limited reports whether an advertised rate is in force.
-func (x *state) limited(now time.Time) bool {
+func (x *endpointState) limited(now time.Time) bool {
 	return x != nil && x.Limited && now.Sub(x.learnedAt) < rateTTL
 }
 
 // New returns an empty table for a host that knows no others.
 func New() *Table {
 	return &Table{
-		byEndpoint:   map[fleet.EndpointID]*state{},
+		byEndpoint:   map[fleet.EndpointID]*endpointState{},
 		backoffUntil: map[fleet.EndpointID]time.Time{},
 		requests:     map[fleet.EndpointID]*requestCounter{},
 		hosts:        []string{""},
@@ -106,7 +106,7 @@
 func (t *Table) observe(now time.Time, id fleet.EndpointID, resp Response, sent time.Time, ran bool) (fleet.EndpointSignal, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// A later pause does not shorten an earlier one.
+	// A later backoff does not shorten an earlier one.
 	if until := now.Add(resp.RetryAfter); resp.RetryAfter > 0 && until.After(t.backoffUntil[id]) {
 		t.backoffUntil[id] = until
 	}
@@ -128,7 +128,7 @@
 }
 
 // isCurrent reports whether the rate is known and recent, so that it need not be sent again.
-func (x *state) isCurrent(now time.Time, rate float64) bool {
+func (x *endpointState) isCurrent(now time.Time, rate float64) bool {
 	return x.limited(now) && math.Abs(x.Rate-rate) <= minRateChange*x.Rate && now.Sub(x.learnedAt) < refreshAfter
 }
 
@@ -156,7 +156,7 @@
 	case x == nil && signal == (fleet.EndpointSignal{Endpoint: signal.Endpoint}):
 		return false
 	case x == nil:
-		x = &state{}
+		x = &endpointState{}
 		t.byEndpoint[signal.Endpoint] = x
 	case x.EndpointSignal == signal:
 		return false
@@ -205,14 +205,14 @@
 	if x := t.byEndpoint[id]; x.limited(now) {
 		until, wait = x.nextAvailable(now)
 	}
-	paused := t.backoffUntil[id]
-	if now.Before(paused) && (!wait || !until.IsZero() && until.Before(paused)) {
-		return paused, true
+	backoffEnd := t.backoffUntil[id]
+	if now.Before(backoffEnd) && (!wait || !until.IsZero() && until.Before(backoffEnd)) {
+		return backoffEnd, true
 	}
 	return until, wait
 }
 
-// Throttled reports whether the endpoint advertises a rate or has asked this host for a pause.
+// Throttled reports whether the endpoint advertises a rate or has asked this host to back off.
 func (t *Table) Throttled(now time.Time, id fleet.EndpointID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -288,7 +288,7 @@
 	return out
 }
 
-// BackoffRequested returns the endpoints that have asked this host for a pause.
+// BackoffRequested returns the endpoints that have asked this host to back off.
 func (t *Table) BackoffRequested(now time.Time) []fleet.EndpointID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/signals/table_test.go
+++ b/pkg/signals/table_test.go
@@ -85,8 +85,8 @@
 	})
 }
 
-// A response that was sent before the rate arrives late, or its request was not run. Neither may end
-// the limit.
+// A response that was sent before the rate arrives late, or its request was not run. Neither may
+// end the limit.
 func TestOnlyLaterResponseEndsLimit(t *testing.T) {
 	is := is.New(t)
 	l := newHost(0, 9)
@@ -144,8 +144,8 @@
 	})
 }
 
-// An endpoint asks for a pause and then for a shorter one. The first one must stay in force.
-func TestShorterPauseDoesNotReplaceLonger(t *testing.T) {
+// An endpoint asks for a backoff and then for a shorter one. The first one must stay in force.
+func TestShorterBackoffDoesNotReplaceLonger(t *testing.T) {
 	is := is.New(t)
 	l := newHost(0, 9)
 	l.Observe(at(0), endpoint, signals.Response{RetryAfter: 3 * time.Second}, at(0), false)
@@ -158,8 +158,9 @@
 	is.Equal(l.Checksum(), uint64(0)) // it concerns this host only
 }
 
-// An endpoint advertises a rate and asks for a pause. The later of the two times must be returned.
-func TestPauseOfLimitedEndpoint(t *testing.T) {
+// An endpoint advertises a rate and asks for a backoff. The later of the two times must be
+// returned.
+func TestBackoffOfLimitedEndpoint(t *testing.T) {
 	is := is.New(t)
 	l := newHost(0, 1)
 	l.Observe(at(0), endpoint, signals.Response{Rate: withRate(1).Rate, RetryAfter: 4 * time.Second}, at(0), false)
@@ -216,7 +217,7 @@
 		hosts := rapid.IntRange(1, 30).Draw(t, "hosts")
 		advertised := rapid.Float64Range(1, 30).Draw(t, "rate")
 		delay := time.Duration(rapid.IntRange(50, 250).Draw(t, "told")) * time.Millisecond
-		const settle, answer = 3 * time.Second, 20 * time.Millisecond
+		const settle, responseTime = 3 * time.Second, 20 * time.Millisecond
 		all := make([]*signals.Table, hosts)
 		for i := range all {
 			all[i] = newHost(i, hosts)
@@ -224,7 +225,7 @@
 		gap := time.Duration(advertisedPart / advertised * float64(time.Second))
 		learned := make([]time.Duration, hosts)
 		for i := range learned {
-			learned[i] = gap + answer + delay
+			learned[i] = gap + responseTime + delay
 		}
 		var sent []time.Duration
 		for d, n := -3*time.Second, 0; d < 8*time.Second; d, n = d+gap, n+1 {
@@ -237,7 +238,7 @@
 			if all[i].TryAcquire(at(d), endpoint) {
 				sent = append(sent, d)
 				if d > 0 {
-					learned[i] = min(learned[i], d+answer)
+					learned[i] = min(learned[i], d+responseTime)
 				}
 			}
 		}
