--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -16,8 +16,7 @@
 const (
 	// reportLag is the maximum age of the state in an endpoint's report.
 	reportLag = 250 * time.Millisecond
-	// listLag is the maximum age of an entry in the list of endpoints, about two
-	// heartbeats.
+	// listLag is the maximum age of an entry in the list of endpoints.
 	listLag = 2500 * time.Millisecond
 	// orderTimeout limits one attempt to send an order. It leaves time for a
 	// retransmission. Orders may safely be sent twice.
@@ -90,12 +89,12 @@
 	c.demand.AddReport(now, r)
 	for _, id := range r.BackoffRequested {
 		if t := c.trackers[id]; t != nil {
-			t.reportedBackoff(now)
+			t.recordPeerBackoff(now)
 		}
 	}
 	for _, id := range r.Unreachable {
 		if t := c.trackers[id]; t != nil && (r.Host != c.Election.self.Host || c.demand.singleHost()) {
-			t.reportedUnreachable(now)
+			t.recordPeerUnreachable(now)
 		}
 	}
 }
--- a/pkg/orders/demand.go
+++ b/pkg/orders/demand.go
@@ -63,11 +63,11 @@
 }
 
 type hostDemand struct {
-	// at is when the needs were received, seen when the host last confirmed them.
-	at, seen    time.Time
-	incarnation string
-	seq         int64
-	needs       []fleet.NeedReport
+	// at is when the needs were reported, confirmedAt when the host last confirmed them.
+	at, confirmedAt time.Time
+	incarnation     string
+	seq             int64
+	needs           []fleet.NeedReport
 }
 
 // NewDemand returns an empty Demand that collects reports from now on.
@@ -81,14 +81,14 @@
 	known = known && old.incarnation == report.Incarnation
 	if report.Unchanged {
 		if known {
-			old.seen = now
+			old.confirmedAt = now
 			d.hosts[report.Host] = old
 		}
 		return
 	}
 	// Only the arrivals of an outdated report count.
 	if !known || report.Seq >= old.seq {
-		d.hosts[report.Host] = hostDemand{at: now, seen: now, incarnation: report.Incarnation, seq: report.Seq, needs: report.Needs}
+		d.hosts[report.Host] = hostDemand{at: now, confirmedAt: now, incarnation: report.Incarnation, seq: report.Seq, needs: report.Needs}
 	}
 	for _, n := range report.Needs {
 		key := demandKey{n.Service, n.Model, n.Adapter}
@@ -145,7 +145,7 @@
 		out[key] = &modelDemand{fast: r.fast * fastFactor, slow: r.slow * slowFactor, awaitingFirstByte: r.awaitingFirstByte * fastFactor, lastUsed: r.lastUsed}
 	}
 	for host, h := range d.hosts {
-		if now.Sub(h.seen) > demandTTL {
+		if now.Sub(h.confirmedAt) > demandTTL {
 			delete(d.hosts, host)
 			continue
 		}
--- a/pkg/orders/endpointtracker.go
+++ b/pkg/orders/endpointtracker.go
@@ -84,9 +84,9 @@
 // peerReportTTL is how long another host's report about an endpoint counts.
 const peerReportTTL = 2 * time.Second
 
-// reportedUnreachable records that another host could not connect. A new report is
+// recordPeerUnreachable records that another host could not connect. A new report is
 // requested unless a request is in progress or recent.
-func (t *endpointTracker) reportedUnreachable(now time.Time) {
+func (t *endpointTracker) recordPeerUnreachable(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reach.reported = now
@@ -96,8 +96,8 @@
 	}
 }
 
-// reportedBackoff records that the endpoint has asked a host to back off.
-func (t *endpointTracker) reportedBackoff(now time.Time) {
+// recordPeerBackoff records that the endpoint has asked a host to back off.
+func (t *endpointTracker) recordPeerBackoff(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.backoffReported = now
