--- a/pkg/allowance/allowance_test.go
+++ b/pkg/allowance/allowance_test.go
@@ -282,7 +282,7 @@
 		partitioned    bool
 		span           time.Duration
 	}{
-		{"partitioned at the rise", 20, 20, 0.55, 4.1, true, 6 * time.Second},
+		{"cut off as it begins", 20, 20, 0.55, 4.1, true, 6 * time.Second},
 		{"a single host", 9, 1, 0.55, 7, false, 6 * time.Second},
 		{"slightly over the limit, then far over", 20, 20, 1.3, 7, false, 6 * time.Second},
 		{"slightly over the limit, then partitioned", 20, 20, 1.3, 4.1, true, 6 * time.Second},
