--- a/pkg/orders/controller.go
+++ b/pkg/orders/controller.go
@@ -16,8 +16,7 @@
 const (
 	// reportLag is the maximum age of the state in an endpoint's report.
 	reportLag = 250 * time.Millisecond
-	// listLag is the maximum age of an entry in the list of endpoints, about two
-	// heartbeats.
+	// listLag is the maximum age of an entry in the list of endpoints.
 	listLag = 2500 * time.Millisecond
 	// orderTimeout limits one attempt to send an order. It leaves time for a
 	// retransmission. Orders may safely be sent twice.
@@ -37,15 +36,14 @@
 	loadMargin = 15 * time.Millisecond
 	// loadPollInterval is the interval between reports while a load is not confirmed.
 	loadPollInterval = 120 * time.Millisecond
-	// unconfirmedReadyIn is the time until a model is ready that other hosts are given
-	// while its load is not confirmed. It exceeds reportLag.
+	// unconfirmedReadyIn is the time until a model is ready that is sent to other hosts while
+	// the load is not confirmed. It exceeds reportLag.
 	unconfirmedReadyIn = 300 * time.Millisecond
 	// unloadTime is how long an endpoint takes to unload an idle model.
 	unloadTime = 62 * time.Millisecond
 	// adapterLoadTime is how long after its order an adapter can be used.
 	adapterLoadTime = 12 * time.Millisecond
-	// ratePerReplica is how many requests per second one replica should serve, about half
-	// of what an endpoint can handle.
+	// ratePerReplica is how many requests per second one replica should serve.
 	ratePerReplica = 15
 )
 
@@ -91,12 +89,12 @@
 	c.demand.AddReport(now, r)
 	for _, id := range r.BackoffRequested {
 		if t := c.trackers[id]; t != nil {
-			t.reportedBackoff(now)
+			t.recordPeerBackoff(now)
 		}
 	}
 	for _, id := range r.Unreachable {
 		if t := c.trackers[id]; t != nil && (r.Host != c.Election.self.Host || c.demand.singleHost()) {
-			t.reportedUnreachable(now)
+			t.recordPeerUnreachable(now)
 		}
 	}
 }
--- a/pkg/quarantine/blocklist.go
+++ b/pkg/quarantine/blocklist.go
@@ -13,12 +13,12 @@
 	BlockTTL = time.Hour
 	// trialTTL is how long a trial is kept, the same as the crashes that led to it.
 	trialTTL = crashTTL
-	// maxBlocks bounds the number of blocks, and separately of trials. Further ones are not added.
+	// maxBlocks bounds the number of blocks and, separately, of trials. Beyond it, none are added.
 	maxBlocks = 512
 )
 
-// Blocklist holds the blocked requests and the trials of suspect requests. It is safe for concurrent
-// use.
+// Blocklist holds the blocked requests and the trials of suspect requests. It is safe for
+// concurrent use.
 type Blocklist struct {
 	mu sync.Mutex
 	// blockedAt maps each blocked request to when it was blocked, in Unix seconds.
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-// Each host asks a relay or a fallback. Every chain of upstreams must end at the controller,
+// Each host polls a relay or a fallback. Every chain of upstreams must end at the controller,
 // without cycles and without overloading a relay.
 func TestUpstreamsEndAtController(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -66,14 +66,14 @@
 		for _, h := range hosts {
 			// The choice by hash is uneven, so some relays get more than their share.
 			if limit := 2*relay.Children(h.Cores) + 8; h.Name != controller.Name && load[h.Name] > limit {
-				t.Fatalf("%d hosts ask %+v, want at most %d", load[h.Name], h, limit)
+				t.Fatalf("%d hosts poll %+v, want at most %d", load[h.Name], h, limit)
 			}
 		}
 	})
 }
 
-// With few hosts, all ask the controller directly.
-func TestFewHostsAskControllerDirectly(t *testing.T) {
+// With few hosts, all poll the controller directly.
+func TestFewHostsPollControllerDirectly(t *testing.T) {
 	is := is.New(t)
 	var hosts []relay.Member
 	for i := range 9 {
@@ -186,9 +186,9 @@
 		want            time.Time
 	}{
 		{"nothing has changed", false, false, 50 * time.Millisecond, at(350)},
-		{"a model that is waited for", true, true, 50 * time.Millisecond, at(100)},
-		{"another model", true, false, 50 * time.Millisecond, at(140)},
-		{"another model, at a busy relay", true, false, time.Second, at(350)},
+		{"an urgent change", true, true, 50 * time.Millisecond, at(100)},
+		{"a change that is not urgent", true, false, 50 * time.Millisecond, at(140)},
+		{"a change that is not urgent, at a busy relay", true, false, time.Second, at(350)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is.New(t).Equal(timing.RespondAt(c.changed, c.urgent, c.spacing), c.want)
