--- a/pkg/serve/attempt.go
+++ b/pkg/serve/attempt.go
@@ -76,16 +76,16 @@
 }
 
 // reject records why an endpoint did not run the request.
-func (x *exchange) reject(e fleet.Endpoint, a *Response) {
+func (x *exchange) reject(e fleet.Endpoint, response *Response) {
 	s := x.server
 	now := s.Now()
 	name := x.request.Need().QualifiedName()
-	_ = a.Body.Close() // The body is not used.
-	switch a.Class {
+	_ = response.Body.Close() // The body is not used.
+	switch response.Class {
 	case Overloaded:
 		s.Health.RecordOverload(now, e.ID, name)
 		x.result.Note = "endpoint is full"
-		if p := a.Signals.RetryAfter; p > 0 {
+		if p := response.Signals.RetryAfter; p > 0 {
 			x.result.Note = fmt.Sprintf("endpoint rejects and asks for a pause of %v", p)
 		}
 	case NotLoaded:
@@ -117,25 +117,25 @@
 
 // handleResponse forwards a response, or keeps a failed one as the fallback if another
 // endpoint may succeed.
-func (x *exchange) handleResponse(ctx context.Context, e fleet.Endpoint, a *Response, w *stallWatcher, start time.Time) attemptResult {
+func (x *exchange) handleResponse(ctx context.Context, e fleet.Endpoint, response *Response, w *stallWatcher, start time.Time) attemptResult {
 	s := x.server
-	s.Health.RecordResult(e.ID, x.request.Service, a.Failed())
-	if a.Failed() && (x.headSent || x.mayRunAgain(ctx)) {
+	s.Health.RecordResult(e.ID, x.request.Service, response.Failed())
+	if response.Failed() && (x.headSent || x.mayRunAgain(ctx)) {
 		s.Queue.Release(x.request, e.ID, SlotResult{Failed: true})
 		if x.headSent {
-			_ = a.Body.Close() // The head of another response was sent already.
+			_ = response.Body.Close() // The head of another response was sent already.
 			return attemptFailed
 		}
 		x.dropFallback()
-		x.fallback = a
+		x.fallback = response
 		return attemptFailed
 	}
 	x.dropFallback()
-	err := x.forward(a, w, e.ID)
-	_ = a.Body.Close() // The body was read completely or is discarded.
+	err := x.forward(response, w, e.ID)
+	_ = response.Body.Close() // The body was read completely or is discarded.
 	if err == nil {
 		x.result.Complete = true
-		x.result.Status = a.Status
+		x.result.Status = response.Status
 		x.recordServed(e, start)
 		s.Queue.Release(x.request, e.ID, SlotResult{Duration: s.Now().Sub(start)})
 		return attemptDone
@@ -150,9 +150,9 @@
 }
 
 // sendFallback forwards a failed response that was kept.
-func (x *exchange) sendFallback(a *Response) {
-	x.result.Status = a.Status
-	if err := x.forward(a, nil, x.result.Endpoint); err != nil {
+func (x *exchange) sendFallback(response *Response) {
+	x.result.Status = response.Status
+	if err := x.forward(response, nil, x.result.Endpoint); err != nil {
 		x.result.Note = err.Error()
 		x.abortOrFail()
 		return
--- a/pkg/serve/dispatcher.go
+++ b/pkg/serve/dispatcher.go
@@ -172,7 +172,7 @@
 		if missing {
 			d.onMissingModel()
 		}
-		return fleet.Endpoint{}, refuse(input, max(retryAfter, minRetryAfter))
+		return fleet.Endpoint{}, newRefusal(input, max(retryAfter, minRetryAfter))
 	}
 	s.push(w)
 	s.mu.Unlock()
@@ -194,7 +194,7 @@
 	return until, retryAfter, hold
 }
 
-func refuse(s HoldInput, retryAfter time.Duration) *Refusal {
+func newRefusal(s HoldInput, retryAfter time.Duration) *Refusal {
 	cause := CauseNotLoaded
 	switch {
 	case s.NotConfigured:
@@ -247,16 +247,16 @@
 		if ctx.Err() != nil {
 			return fleet.Endpoint{}, &Refusal{Cause: CauseClientGone, NotRun: true}
 		}
-		return fleet.Endpoint{}, refuse(input, retryAfter)
+		return fleet.Endpoint{}, newRefusal(input, retryAfter)
 	}
 }
 
 // holdInput returns the input of Hold for a waiter. missing reports whether the request needs
 // a model that no endpoint can serve now and that should be loaded.
 func (d *Dispatcher) holdInput(now time.Time, w *waiter) (s HoldInput, missing bool) {
-	f := d.placement.Find(now, w.need)
-	limitedUntil, limited := d.limitedUntil(now, w.need, f.Ready)
-	s = HoldInput{Now: now, Ready: len(f.Ready) > 0 && !limited, ReadyAt: f.ReadyAt, ColdReadyAt: f.ColdReadyAt, HasEndpoints: f.HasEndpoints, NotConfigured: f.NotConfigured, Limited: limited}
+	location := d.placement.Find(now, w.need)
+	limitedUntil, limited := d.limitedUntil(now, w.need, location.Ready)
+	s = HoldInput{Now: now, Ready: len(location.Ready) > 0 && !limited, ReadyAt: location.ReadyAt, ColdReadyAt: location.ColdReadyAt, HasEndpoints: location.HasEndpoints, NotConfigured: location.NotConfigured, Limited: limited}
 	if s.ReadyAt.IsZero() || !limitedUntil.IsZero() && limitedUntil.Before(s.ReadyAt) {
 		s.ReadyAt = limitedUntil
 	}
@@ -299,11 +299,11 @@
 	}
 	d.mu.Unlock()
 	for _, name := range services {
-		d.kickShard(d.shard(name))
+		d.dispatchShard(d.shard(name))
 	}
 }
 
-func (d *Dispatcher) kickShard(s *shard) {
+func (d *Dispatcher) dispatchShard(s *shard) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := d.now()
@@ -324,22 +324,22 @@
 }
 
 // Release implements Queue.
-func (d *Dispatcher) Release(r *Request, e fleet.EndpointID, u SlotResult) {
+func (d *Dispatcher) Release(r *Request, e fleet.EndpointID, result SlotResult) {
 	d.health.End(e)
-	if u.Unreachable {
+	if result.Unreachable {
 		d.health.RecordUnreachable(d.now(), e)
 		d.onMissingModel()
 	}
 	s := d.shard(r.Service)
 	s.mu.Lock()
 	s.statsOf(r.Need()).inflight--
-	if u.Duration > 0 {
-		s.serviceTime += time.Duration(float64(u.Duration-s.serviceTime) * serviceTimeWeight)
+	if result.Duration > 0 {
+		s.serviceTime += time.Duration(float64(result.Duration-s.serviceTime) * serviceTimeWeight)
 	}
 	idle := len(s.waiting) == 0
 	s.mu.Unlock()
 	if !idle {
-		d.kickShard(s)
+		d.dispatchShard(s)
 	}
 }
 
--- a/pkg/serve/event_reader.go
+++ b/pkg/serve/event_reader.go
@@ -6,13 +6,14 @@
 	"io"
 )
 
-// errPartialEvent is returned when a stream ends within an event.
+// errPartialEvent is returned when a stream ends within an event or an event exceeds
+// maxEventBytes.
 var errPartialEvent = errors.New("stream ended within an event")
 
 // maxEventBytes limits the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-// eventReader splits a stream into complete eventReader, so that a broken stream can be resumed at
+// eventReader splits a stream into complete events, so that a broken stream can be resumed at
 // another endpoint after the last delivered event.
 type eventReader struct {
 	src     io.Reader
@@ -21,8 +22,8 @@
 }
 
 // next returns the complete events read so far and the last ID among them. At the end of a
-// complete stream it returns io.EOF. If the stream ends within an event it returns
-// errPartialEvent.
+// complete stream it returns io.EOF. If the stream ends within an event or an event is too long,
+// it returns errPartialEvent.
 func (e *eventReader) next() (complete []byte, lastID string, err error) {
 	for {
 		if end := lastEventEnd(e.pending); end > 0 {
--- a/pkg/serve/fake_backend_test.go
+++ b/pkg/serve/fake_backend_test.go
@@ -34,8 +34,8 @@
 	unreachable bool
 	// hang sends no response until the request is canceled.
 	hang bool
-	// events is the number of events of a stream, broken the number after which it breaks off,
-	// or negative to send all of them.
+	// events is the number of events of a stream. broken is the number of events after which
+	// the stream breaks off, or negative to send all of them.
 	events, broken int
 	// latency passes before the response.
 	latency time.Duration
@@ -175,7 +175,7 @@
 	onWrite func()
 }
 
-func (s *sink) Begin(a *serve.Response) { s.status = a.Status; s.begun++ }
+func (s *sink) Begin(response *serve.Response) { s.status = response.Status; s.begun++ }
 func (s *sink) Write(p []byte) error {
 	if s.gone {
 		return errReset
--- a/pkg/serve/forward.go
+++ b/pkg/serve/forward.go
@@ -18,28 +18,28 @@
 var errAttemptAbandoned = errors.New("try was given up")
 
 // forward sends a response to the client.
-func (x *exchange) forward(a *Response, w *stallWatcher, id fleet.EndpointID) error {
-	body := &notifyReader{src: a.Body, onRead: func() {
+func (x *exchange) forward(response *Response, w *stallWatcher, id fleet.EndpointID) error {
+	body := &notifyReader{src: response.Body, onRead: func() {
 		x.server.Health.RecordByte(x.server.Now(), id)
 		if w != nil {
 			w.progress()
 		}
 	}}
-	if x.request.Route.Kind == fleet.Stream && a.Status < 300 {
+	if x.request.Route.Kind == fleet.Stream && response.Status < 300 {
 		if x.request.Route.Resumable {
-			return x.forwardEvents(a, body)
+			return x.forwardEvents(response, body)
 		}
-		return x.forwardRaw(a, body, nil)
+		return x.forwardRaw(response, body, nil)
 	}
 	head, err := io.ReadAll(io.LimitReader(body, bufferedBodyBytes))
 	if err != nil {
 		return errors.Wrap(err, "read body")
 	}
 	if len(head) < bufferedBodyBytes {
-		x.begin(a)
+		x.begin(response)
 		return x.write(head)
 	}
-	return x.forwardRaw(a, body, head)
+	return x.forwardRaw(response, body, head)
 }
 
 // notifyReader calls onRead after each read that returned bytes.
@@ -57,14 +57,14 @@
 	return count, err
 }
 
-func (x *exchange) begin(a *Response) {
+func (x *exchange) begin(response *Response) {
 	if x.headSent {
 		x.result.Resumed++
 		return
 	}
 	x.headSent = true
 	x.result.FirstByte = x.server.Now().Sub(x.request.Arrived)
-	x.sink.Begin(a)
+	x.sink.Begin(response)
 }
 
 func (x *exchange) write(p []byte) error {
@@ -78,10 +78,10 @@
 }
 
 // forwardRaw copies a body unbuffered.
-func (x *exchange) forwardRaw(a *Response, body io.Reader, head []byte) error {
+func (x *exchange) forwardRaw(response *Response, body io.Reader, head []byte) error {
 	buf := make([]byte, 8<<10)
 	if len(head) > 0 {
-		x.begin(a)
+		x.begin(response)
 		if err := x.write(head); err != nil {
 			return err
 		}
@@ -90,7 +90,7 @@
 		n, err := body.Read(buf)
 		if n > 0 || err == io.EOF {
 			if !x.headSent {
-				x.begin(a)
+				x.begin(response)
 			}
 			if werr := x.write(buf[:n]); werr != nil {
 				return werr
@@ -107,14 +107,14 @@
 
 // forwardEvents forwards complete events only, so that a broken stream can be resumed after
 // the last delivered event.
-func (x *exchange) forwardEvents(a *Response, body io.Reader) error {
+func (x *exchange) forwardEvents(response *Response, body io.Reader) error {
 	r := &eventReader{src: body}
 	first := true
 	for {
 		complete, id, err := r.next()
 		if err == io.EOF {
 			if first {
-				x.begin(a)
+				x.begin(response)
 			}
 			return nil
 		}
@@ -122,7 +122,7 @@
 			return errors.Wrap(err, "read stream")
 		}
 		if first {
-			x.begin(a)
+			x.begin(response)
 			first = false
 		}
 		if err := x.write(complete); err != nil {
--- a/pkg/serve/guard.go
+++ b/pkg/serve/guard.go
@@ -13,8 +13,8 @@
 type Guard interface {
 	// Blocked reports whether the request must not be sent to any endpoint.
 	Blocked(f fleet.Fingerprint) bool
-	// RecordBroken records that a run of a request at an endpoint ended without a complete response.
-	// suspected reports whether no other cause than a crash of the endpoint is known.
+	// RecordBroken records that a run of a request at an endpoint ended without a complete
+	// response. suspected reports whether no other cause than a crash of the endpoint is known.
 	RecordBroken(e fleet.Endpoint, f fleet.Fingerprint, id fleet.CopyID, suspected bool)
 	// RecordUnreachable records that no connection to the endpoint could be made.
 	RecordUnreachable(e fleet.Endpoint)
@@ -64,21 +64,21 @@
 	return true
 }
 
-// recordBroken tells the guard about a run without a complete response.
+// recordBroken reports a run without a complete response to the guard.
 func (x *exchange) recordBroken(e fleet.Endpoint, suspected bool) {
 	if x.guarded() {
 		x.server.Guard.RecordBroken(e, x.request.Fingerprint, fleet.NewCopyID(x.request.ID), suspected)
 	}
 }
 
-// recordUnreachable tells the guard that no connection could be made.
+// recordUnreachable reports to the guard that no connection could be made.
 func (x *exchange) recordUnreachable(e fleet.Endpoint) {
 	if x.server.Guard != nil {
 		x.server.Guard.RecordUnreachable(e)
 	}
 }
 
-// recordServed tells the guard about a run with a complete response.
+// recordServed reports a run with a complete response to the guard.
 func (x *exchange) recordServed(e fleet.Endpoint, began time.Time) {
 	if x.guarded() {
 		x.server.Guard.RecordServed(e, x.request.Fingerprint, began)
--- a/pkg/serve/guard_test.go
+++ b/pkg/serve/guard_test.go
@@ -18,9 +18,9 @@
 	mu           sync.Mutex
 	blocks       bool
 	blockOnBreak bool
-	broke        []bool
+	broken       []bool
 	served       int
-	refused      int
+	unreachable  int
 	suspect      bool
 	probe        probe
 }
@@ -34,14 +34,14 @@
 func (g *fakeGuard) RecordBroken(_ fleet.Endpoint, _ fleet.Fingerprint, _ fleet.CopyID, suspected bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.broke = append(g.broke, suspected)
+	g.broken = append(g.broken, suspected)
 	g.blocks = g.blocks || g.blockOnBreak
 }
 
 func (g *fakeGuard) RecordUnreachable(fleet.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.refused++
+	g.unreachable++
 }
 
 func (g *fakeGuard) Enter(context.Context, fleet.Fingerprint, time.Time) (serve.Probe, bool) {
@@ -51,13 +51,13 @@
 	return &g.probe, true
 }
 
-// probe is granted its turn unless late is set.
+// probe may run unless denied is set.
 type probe struct {
-	late     bool
+	denied   bool
 	outcomes []serve.ProbeOutcome
 }
 
-func (p *probe) Await(context.Context) bool { return !p.late }
+func (p *probe) Await(context.Context) bool { return !p.denied }
 
 func (p *probe) Done(_ fleet.Endpoint, o serve.ProbeOutcome) { p.outcomes = append(p.outcomes, o) }
 
@@ -88,11 +88,11 @@
 func TestBlockedRequestReachesNoEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// blocked blocks the request on arrival, waits while it waits for its model, and tried
-		// when its first attempt ends.
-		blocked, waits, tried bool
-		promise               bool
-		sends                 int
+		// onArrival, whileWaiting and afterAttempt select when the request is blocked: on
+		// arrival, while it waits for its model, or when its first attempt ends.
+		onArrival, whileWaiting, afterAttempt bool
+		notRun                                bool
+		sends                                 int
 	}{
 		{"blocked on arrival", true, false, false, true, 0},
 		{"blocked while waiting for its model", false, true, false, true, 0},
@@ -104,16 +104,16 @@
 				b := newFakeBackend("e1", "e2")
 				b.setScript("e1", script{lost: true})
 				b.setScript("e2", script{lost: true})
-				if c.waits {
+				if c.whileWaiting {
 					b.setReady()
 				}
-				g := &fakeGuard{blocks: c.blocked, blockOnBreak: c.tried}
+				g := &fakeGuard{blocks: c.onArrival, blockOnBreak: c.afterAttempt}
 				r := request("r", fleet.Stream, true)
 				s := newGuardedServer(b, g, r)
 				out := &sink{}
 				done := make(chan serve.Result)
 				go func() { done <- s.Serve(context.Background(), r, out) }()
-				if c.waits {
+				if c.whileWaiting {
 					time.Sleep(time.Second)
 					g.block()
 					b.setReady("e1", "e2")
@@ -121,9 +121,9 @@
 				}
 				result := <-done
 				is.Equal(result.Refusal.Cause, serve.CauseCrashes)
-				is.Equal(out.promisesNotRun(), c.promise)
+				is.Equal(out.promisesNotRun(), c.notRun)
 				is.Equal(len(b.sends), c.sends)
-				is.Equal(len(dispatcher(s).Demand()) > 0, !c.blocked) // a request blocked on arrival is no demand
+				is.Equal(len(dispatcher(s).Demand()) > 0, !c.onArrival) // a request blocked on arrival does not count as demand
 			})
 		})
 	}
@@ -176,33 +176,33 @@
 		defer cancel()
 		s.Serve(ctx, r, &sink{})
 		s.Serve(context.Background(), r, &sink{})
-		is.Equal(g.broke, []bool{true, false})
+		is.Equal(g.broken, []bool{true, false})
 		is.Equal(g.served, 1)
-		is.Equal(g.refused, 1)
+		is.Equal(g.unreachable, 1)
 	})
 }
 
-// A probe runs when its host has the turn, and the guard learns its outcome. A probe whose
-// turn does not come is refused and releases its slot.
-func TestProbeWaitsForItsTurn(t *testing.T) {
+// A probe must run only if the guard allows it, and its outcome must be reported to the guard.
+// A probe that is not allowed is refused and releases its slot.
+func TestProbeRunsOnlyIfAllowed(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		late  bool
-		first script
-		want  serve.ProbeOutcome
-		sends int
-		cause serve.Cause
+		name   string
+		denied bool
+		first  script
+		want   serve.ProbeOutcome
+		sends  int
+		cause  serve.Cause
 	}{
 		{"response is complete", false, script{}, serve.ProbeServed, 1, ""},
 		{"response breaks off", false, script{lost: true}, serve.ProbeInterrupted, 1, serve.CauseBroken},
-		{"probe gets no turn", true, script{}, serve.ProbeNotRun, 0, serve.CauseOnTrial},
+		{"probe is not allowed", true, script{}, serve.ProbeNotRun, 0, serve.CauseOnTrial},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				b := newFakeBackend("e1")
 				b.setScript("e1", c.first)
-				g := &fakeGuard{suspect: true, probe: probe{late: c.late}}
+				g := &fakeGuard{suspect: true, probe: probe{denied: c.denied}}
 				r := request("r", fleet.Stream, true)
 				s := newGuardedServer(b, g, r)
 				out := &sink{}
@@ -213,22 +213,22 @@
 				if c.cause != "" {
 					is.Equal(result.Refusal.Cause, c.cause)
 				}
-				is.Equal(out.promisesNotRun(), c.late)
+				is.Equal(out.promisesNotRun(), c.denied)
 				is.Equal(dispatcher(s).Demand()[0].Inflight, 0)
 			})
 		})
 	}
 }
 
-// countingAllowance allows a fixed number of requests.
-type countingAllowance struct{ left int }
+// countingLimiter allows a fixed number of requests.
+type countingLimiter struct{ left int }
 
-func (m *countingAllowance) Allow(*serve.Request) (bool, time.Duration) {
-	m.left--
-	return m.left >= 0, time.Second
+func (limiter *countingLimiter) Allow(*serve.Request) (bool, time.Duration) {
+	limiter.left--
+	return limiter.left >= 0, time.Second
 }
 
-func (m *countingAllowance) Refund(*serve.Request) { m.left++ }
+func (limiter *countingLimiter) Refund(*serve.Request) { limiter.left++ }
 
 // A request over the limit of its account is refused at once. A request that certainly has not
 // run is refunded, one that may have run is not.
@@ -257,11 +257,11 @@
 					return r
 				}
 				s := newServer(b)
-				m := &countingAllowance{left: 1}
-				s.AccountLimiter = m
+				limiter := &countingLimiter{left: 1}
+				s.AccountLimiter = limiter
 				s.Serve(context.Background(), requestOf("a1"), &sink{})
-				is.Equal(m.left, c.left)
-				m.left = 0
+				is.Equal(limiter.left, c.left)
+				limiter.left = 0
 				out := &sink{}
 				result := s.Serve(context.Background(), requestOf("a1"), out)
 				is.Equal(result.Refusal.Cause, serve.CauseAllowance)
--- a/pkg/serve/health.go
+++ b/pkg/serve/health.go
@@ -63,12 +63,12 @@
 }
 
 func (h *Health) state(id fleet.EndpointID) *endpointState {
-	c := h.endpoints[id]
-	if c == nil {
-		c = &endpointState{closedUntil: map[string]time.Time{}}
-		h.endpoints[id] = c
+	e := h.endpoints[id]
+	if e == nil {
+		e = &endpointState{closedUntil: map[string]time.Time{}}
+		h.endpoints[id] = e
 	}
-	return c
+	return e
 }
 
 // RecordConnectionFailure records a failed connection.
@@ -90,8 +90,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []fleet.EndpointID
-	for id, c := range h.endpoints {
-		if now.Sub(c.unreachableAt) < unreachableReportDuration {
+	for id, e := range h.endpoints {
+		if now.Sub(e.unreachableAt) < unreachableReportDuration {
 			out = append(out, id)
 		}
 	}
@@ -123,8 +123,8 @@
 	if failed {
 		result = 1
 	}
-	c := h.state(id)
-	c.failureRate += (result - c.failureRate) * failureRateWeight
+	e := h.state(id)
+	e.failureRate += (result - e.failureRate) * failureRateWeight
 	h.serviceFailureRate[service] += (result - h.serviceFailureRate[service]) * failureRateWeight
 }
 
@@ -139,20 +139,20 @@
 func (h *Health) RecordLoad(now time.Time, id fleet.EndpointID, l fleet.Load) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := h.state(id)
-	c.load = l
-	c.loadAt = now
+	e := h.state(id)
+	e.load = l
+	e.loadAt = now
 }
 
 // Begin counts a request as running at an endpoint.
 func (h *Health) Begin(now time.Time, id fleet.EndpointID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := h.state(id)
-	if c.running == 0 {
-		c.lastByte = now
+	e := h.state(id)
+	if e.running == 0 {
+		e.lastByte = now
 	}
-	c.running++
+	e.running++
 }
 
 // End counts a running request of an endpoint as ended.
@@ -167,11 +167,11 @@
 func (h *Health) StallTime(now time.Time, id fleet.EndpointID) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	c := h.endpoints[id]
-	if c == nil || c.running == 0 {
+	e := h.endpoints[id]
+	if e == nil || e.running == 0 {
 		return 0
 	}
-	return now.Sub(c.lastByte)
+	return now.Sub(e.lastByte)
 }
 
 // EndpointCondition is the state of an endpoint for one model or adapter, as used by routing.
@@ -183,8 +183,8 @@
 	// Closed reports that the endpoint must not get requests for the model or adapter now.
 	Closed bool
 	// Limited reports that this host has used up its part of the endpoint's request rate, or
-	// that the endpoint asked for a pause. LimitedUntil is when the endpoint accepts requests again,
-	// or zero if that is not known.
+	// that the endpoint asked for a pause. LimitedUntil is when the endpoint accepts requests
+	// again, or zero if that is not known.
 	Limited      bool
 	LimitedUntil time.Time
 }
@@ -194,18 +194,18 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	limitedUntil, limited := h.Signals.Next(now, id)
-	c := h.endpoints[id]
-	if c == nil {
+	e := h.endpoints[id]
+	if e == nil {
 		return EndpointCondition{LoadAge: time.Hour, Limited: limited, LimitedUntil: limitedUntil}
 	}
 	return EndpointCondition{
 		Limited:      limited,
 		LimitedUntil: limitedUntil,
-		OwnRequests:  c.running,
-		Load:         c.load,
-		LoadAge:      now.Sub(c.loadAt),
-		Suspect:      now.Before(c.suspectUntil) || c.failureRate > h.serviceFailureRate[service]+failureRateMargin || c.running > 0 && now.Sub(c.lastByte) > stalledAfter,
-		Closed:       now.Before(c.closedUntil[name]),
+		OwnRequests:  e.running,
+		Load:         e.load,
+		LoadAge:      now.Sub(e.loadAt),
+		Suspect:      now.Before(e.suspectUntil) || e.failureRate > h.serviceFailureRate[service]+failureRateMargin || e.running > 0 && now.Sub(e.lastByte) > stalledAfter,
+		Closed:       now.Before(e.closedUntil[name]),
 	}
 }
 
@@ -214,8 +214,8 @@
 	h.Signals.Retain(live)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for id, c := range h.endpoints {
-		if !live[id] && c.running == 0 {
+	for id, e := range h.endpoints {
+		if !live[id] && e.running == 0 {
 			delete(h.endpoints, id)
 		}
 	}
--- a/pkg/serve/hold.go
+++ b/pkg/serve/hold.go
@@ -26,10 +26,10 @@
 	minRunTime = 60 * time.Millisecond
 )
 
-// DemandRank returns the time by which the request is ranked in the demand, and whether the request
-// can still meet its objective if its model is loaded now. If it can, that time is the
-// objective. Otherwise it is the last time at which a load can start to finish before the
-// request is refused.
+// DemandRank returns the time by which the request is ranked in the demand, and whether the
+// request can still meet its objective if its model is loaded now. If it can, the time is its
+// objective. Otherwise it is the last time at which a load can start and still finish before
+// the request is refused.
 func DemandRank(r *Request, now time.Time) (due time.Time, onTime bool) {
 	if objective := r.ObjectiveTime(); objective.Sub(now) >= typicalLoadTime {
 		return objective, true
--- a/pkg/serve/queue.go
+++ b/pkg/serve/queue.go
@@ -17,8 +17,8 @@
 	// done. The caller must return the slot with Release.
 	Acquire(ctx context.Context, r *Request, prior PriorAttempts) (fleet.Endpoint, *Refusal)
 	// Release returns a slot.
-	Release(r *Request, e fleet.EndpointID, u SlotResult)
-	// RecordFirstByte records how long after it was sent a request got the first byte of its
+	Release(r *Request, e fleet.EndpointID, result SlotResult)
+	// RecordFirstByte records the time from sending a request to the first byte of its
 	// response.
 	RecordFirstByte(r *Request, after time.Duration)
 	// HasAlternative reports whether an endpoint other than e could serve the request now.
--- a/pkg/serve/request.go
+++ b/pkg/serve/request.go
@@ -97,7 +97,7 @@
 }
 
 // Failed reports whether the endpoint ran the request and returned a server error.
-func (a *Response) Failed() bool { return a.Status >= 500 }
+func (r *Response) Failed() bool { return r.Status >= 500 }
 
 var (
 	// ErrNoConfig is returned while the host has not received a configuration.
@@ -160,8 +160,8 @@
 	RunStatus(ctx context.Context, r *Request, e fleet.Endpoint) (RunStatus, error)
 }
 
-// RunStatus is the state of a request as reported by an endpoint. It may lag behind by a few hundred
-// milliseconds.
+// RunStatus is the state of a request as reported by an endpoint. It may lag behind by a few
+// hundred milliseconds.
 type RunStatus struct {
 	// Active reports whether the request waits or runs at the endpoint.
 	Active bool
@@ -213,7 +213,7 @@
 // Sink receives the response to a request.
 type Sink interface {
 	// Begin sends the head of an endpoint's response.
-	Begin(a *Response)
+	Begin(response *Response)
 	// Write sends bytes of the body without buffering.
 	Write(p []byte) error
 	// Abort closes the connection so that the response does not look complete.
--- a/pkg/serve/urgency.go
+++ b/pkg/serve/urgency.go
@@ -6,12 +6,12 @@
 )
 
 // Urgency levels of requests at an endpoint, where 0 is the highest. Requests of the highest
-// priority precede all others, requests that missed their objective come last.
+// priority precede all others. Of the others, those that missed their objective come last.
 const (
-	topPriorityLevels     = 3
-	otherPrioritiesFrom   = topPriorityLevels
-	otherPrioritiesLevels = 6
-	lateUrgency           = otherPrioritiesFrom + otherPrioritiesLevels
+	topPriorityLevels   = 3
+	firstOtherLevel     = topPriorityLevels
+	otherPriorityLevels = 6
+	lateUrgency         = firstOtherLevel + otherPriorityLevels
 )
 
 // Urgency returns the priority of a request in the queue of an endpoint, where 0 is the
@@ -31,6 +31,6 @@
 	case r.Route.Objective > 0 && now.After(r.ObjectiveTime()):
 		return lateUrgency
 	default:
-		return otherPrioritiesFrom + level%otherPrioritiesLevels
+		return firstOtherLevel + level%otherPriorityLevels
 	}
 }
