--- a/pkg/pool/bench_test.go
+++ b/pkg/pool/bench_test.go
@@ -38,9 +38,9 @@
 	var list []pool.Observation
 	var decisions []record.Decision
 	for i := range endpoints {
-		seen := record.EndpointRegistered{Endpoint: fmt.Sprint("e", i), Incarnation: "i", MemoryMB: 80000}
-		list = append(list, pool.Observation{EndpointRegistered: seen, Reachable: true})
-		decisions = append(decisions, record.Decision{Endpoint: &seen})
+		registered := record.EndpointRegistered{Endpoint: fmt.Sprint("e", i), Incarnation: "i", MemoryMB: 80000}
+		list = append(list, pool.Observation{EndpointRegistered: registered, Reachable: true})
+		decisions = append(decisions, record.Decision{Endpoint: &registered})
 	}
 	for i := range models {
 		id := record.ReplicaID(fmt.Sprint("r", i))
--- a/pkg/pool/controller.go
+++ b/pkg/pool/controller.go
@@ -3,7 +3,8 @@
 //
 // A Controller does no I/O. The host passes messages to it, executes the effects that Step
 // returns and reports their results. Every host has a controller for every pool.
-// Controllers that do not own their pool only report the end of their former orders.
+// The controller of a host that does not own the pool only reports when the host's orders of
+// former epochs have ended.
 package pool
 
 import (
@@ -151,8 +152,9 @@
 	delete(c.plans, key)
 }
 
-// keepAlivePlan returns how long an idle model stays loaded and when it is loaded in
-// advance. If the contract has no weights, its keep-alive applies.
+// keepAlivePlan returns how long an idle model stays loaded and when it is preloaded. The
+// keep-alive of the contract applies if no gaps are recorded or the contract has no cost
+// weights.
 func (c *Controller) keepAlivePlan(key modelKey, m state.PoolModel) keepalive.Plan {
 	gaps := c.gaps[key]
 	if gaps == nil || m.Weights == (contract.CostWeights{}) {
@@ -178,8 +180,8 @@
 // Busy reports whether an order or a plan is in progress.
 func (c *Controller) Busy() bool { return c.planPending || c.pendingOrders("") > 0 }
 
-// PlanDone reports that the last plan was applied or abandoned. Abandoning is safe, because
-// of two plans with the same sequence number only one is applied.
+// PlanDone reports that the last plan was applied or abandoned. Abandoning is safe, because at
+// most one of several plans with the same sequence number is applied.
 func (c *Controller) PlanDone() { c.planPending = false }
 
 // OrderDone reports the result of an order.
@@ -276,8 +278,8 @@
 }
 
 // transfer hands the pool over to the successor. It waits until no order is in progress,
-// because the replicated state assumes that a pool that was handed over has no orders of
-// the former owner.
+// because the replicated state assumes that no order of the former owner is in progress after
+// a handover.
 func (c *Controller) transfer(now time.Time, p state.Pool) []Effect {
 	if c.Busy() || now.Before(c.nextRecordAt) || *c.successor == c.cfg.Self {
 		return nil
@@ -316,8 +318,8 @@
 func (c *Controller) placementModel(now time.Time, m state.PoolModel, demand placement.Model) placement.Model {
 	key := modelKey{m.Customer, m.Name}
 	if _, known := c.lastUsed[key]; !known {
-		// A new owner has not seen the model used. Its replicas count as just used, so that
-		// a change of owner does not unload them.
+		// A new owner does not know when the model was last used. The model counts as just
+		// used, so that a change of owner does not unload its replicas.
 		c.lastUsed[key] = now
 	}
 	demand.Customer = m.Customer
--- a/pkg/pool/messages.go
+++ b/pkg/pool/messages.go
@@ -56,7 +56,7 @@
 // itself.
 type Observation struct {
 	record.EndpointRegistered
-	// Draining is set if the endpoint must get no new replicas.
+	// Draining is set if no new replicas may be placed on the endpoint.
 	Draining bool
 	// Reachable is set if the endpoint answered the last health check. Loaded is taken from that
 	// answer.
--- a/pkg/pool/pool_prop_test.go
+++ b/pkg/pool/pool_prop_test.go
@@ -14,7 +14,7 @@
 func TestReplicasAndMemoryStayWithinLimits(t *testing.T) {
 	loads := 0
 	rapid.Check(t, func(t *rapid.T) {
-		s := schedule{newWorld(t, true, false, true), t}
+		s := schedule{newSimulation(t, true, false, true), t}
 		t.Repeat(map[string]func(*rapid.T){
 			"round":     func(*rapid.T) { s.round() },
 			"round two": func(*rapid.T) { s.round() },
@@ -26,21 +26,21 @@
 			"deliver 2": func(*rapid.T) { s.deliverOne() },
 			"abandon":   func(*rapid.T) { s.abandonOne() },
 			"observe":   func(*rapid.T) { s.observe() },
-			"claim":     func(*rapid.T) { s.skipMost(); s.w.claim(s.host()) },
+			"claim":     func(*rapid.T) { s.skipMost(); s.sim.claim(s.host()) },
 			"hand over": func(*rapid.T) { s.skipMost(); s.host().ctrl.HandOver(s.host().ref) },
-			"kill":      func(*rapid.T) { s.skipMost(); s.w.kill(s.index(3, "host"), s.bool("listed as gone")) },
-			"restart":   func(*rapid.T) { s.skipMost(); s.w.restart(s.w.endpoints[s.index(3, "endpoint")]) },
+			"kill":      func(*rapid.T) { s.skipMost(); s.sim.kill(s.index(3, "host"), s.bool("listed as gone")) },
+			"restart":   func(*rapid.T) { s.skipMost(); s.sim.restart(s.sim.endpoints[s.index(3, "endpoint")]) },
 			"contract":  func(*rapid.T) { s.skipMost(); s.contract() },
 		})
-		loads += s.w.loads
+		loads += s.sim.loads
 	})
 	t.Logf("%d loads", loads)
 }
 
 // schedule draws the next action.
 type schedule struct {
-	w *world
-	t *rapid.T
+	sim *simulation
+	t   *rapid.T
 }
 
 func (s schedule) index(n int, label string) int {
@@ -52,7 +52,7 @@
 
 func (s schedule) bool(label string) bool { return rapid.Bool().Draw(s.t, label) }
 
-func (s schedule) host() *host { return s.w.hosts[s.index(len(s.w.hosts), "host")] }
+func (s schedule) host() *host { return s.sim.hosts[s.index(len(s.sim.hosts), "host")] }
 
 // skipMost skips most calls of a disruptive action.
 func (s schedule) skipMost() {
@@ -70,45 +70,45 @@
 // schedules reach states in which failures matter.
 func (s schedule) round() {
 	h := s.host()
-	s.w.applyRecords(h, len(s.w.log))
+	s.sim.applyRecords(h, len(s.sim.log))
 	owner, _ := h.st.Pools.Owner(testPool)
-	i := slices.IndexFunc(s.w.hosts, func(h *host) bool { return h.ref == owner })
+	i := slices.IndexFunc(s.sim.hosts, func(h *host) bool { return h.ref == owner })
 	if i >= 0 && s.index(5, "same owner") > 0 {
-		h = s.w.hosts[i]
+		h = s.sim.hosts[i]
 	} else if owner != h.ref {
-		s.w.claim(h)
+		s.sim.claim(h)
 	}
-	s.w.work(h, s.waiting(), s.bool("orders arrive"))
+	s.sim.runRounds(h, s.waiting(), s.bool("orders arrive"))
 }
 
 func (s schedule) step() {
-	s.w.now = s.w.now.Add(time.Duration(s.index(800, "ms")) * time.Millisecond)
-	s.w.step(s.host())
+	s.sim.now = s.sim.now.Add(time.Duration(s.index(800, "ms")) * time.Millisecond)
+	s.sim.step(s.host())
 }
 
-func (s schedule) applyRecords() { s.w.applyRecords(s.host(), s.index(20, "records")+1) }
+func (s schedule) applyRecords() { s.sim.applyRecords(s.host(), s.index(20, "records")+1) }
 
 // commitAppend commits a pending append, possibly for a second time.
 func (s schedule) commitAppend() {
-	a := s.w.appends[s.index(len(s.w.appends), "append")]
-	s.w.log = append(s.w.log, a.data)
+	a := s.sim.appends[s.index(len(s.sim.appends), "append")]
+	s.sim.log = append(s.sim.log, a.data)
 	a.committed = true
 }
 
-func (s schedule) order() *orderMsg { return s.w.orders[s.index(len(s.w.orders), "order")] }
+func (s schedule) order() *orderMsg { return s.sim.orders[s.index(len(s.sim.orders), "order")] }
 
-func (s schedule) deliverOne() { s.w.deliver(s.order(), s.index(8, "answer") == 0) }
+func (s schedule) deliverOne() { s.sim.deliver(s.order(), s.index(8, "answer") == 0) }
 
 func (s schedule) abandonOne() {
 	if o := s.order(); !o.abandoned {
-		s.w.abandon(o)
+		s.sim.abandon(o)
 	}
 }
 
 func (s schedule) observe() {
-	list := s.w.observation()
+	list := s.sim.observation()
 	if s.index(4, "stale") == 0 {
-		list = s.w.stale
+		list = s.sim.stale
 	}
 	s.host().ctrl.Observe(list)
 }
@@ -117,5 +117,5 @@
 	model := func(name string) modelLimits {
 		return modelLimits{1 + s.index(3, "max "+name), int64(30 + 10*s.index(4, "mb "+name))}
 	}
-	s.w.publish(limits{"a": model("a"), "b": model("b")})
+	s.sim.publishContract(limits{"a": model("a"), "b": model("b")})
 }
--- a/pkg/pool/step.go
+++ b/pkg/pool/step.go
@@ -11,7 +11,7 @@
 	"github.com/tealvane/tealvane/pkg/state"
 )
 
-// step makes the owner's decisions for one copy of the pool's state.
+// step makes the owner's decisions for one snapshot of the pool's state.
 type step struct {
 	c         *Controller
 	now       time.Time
@@ -65,8 +65,8 @@
 	if o.Incarnation == "" || s.c.pendingOrders(o.Endpoint) > 0 {
 		return
 	}
-	seen := o.EndpointRegistered
-	s.addDecision(record.Decision{Endpoint: &seen})
+	registered := o.EndpointRegistered
+	s.addDecision(record.Decision{Endpoint: &registered})
 }
 
 // reconcileReplicas sends the orders that the replicas' phases require and records their
@@ -126,8 +126,8 @@
 }
 
 // checkStillLoaded retires a replica that its endpoint no longer lists, for example because
-// the endpoint evicted it. Observations made before the load do not list it either, so the
-// first one that lists it is awaited.
+// the endpoint evicted it. Observations made before the load do not list the replica either,
+// so they are ignored until the first one that lists it.
 func (s *step) checkStillLoaded(r state.Replica) {
 	o, ok := s.c.observed[r.Endpoint]
 	if !ok || !o.Reachable || o.Incarnation != s.pool.Endpoints[r.Endpoint].Incarnation {
@@ -144,8 +144,8 @@
 
 func (s *step) reconcileUnload(r state.Replica) {
 	lost := s.pool.Endpoints[r.Endpoint].Lost
-	pending := s.c.orders[orderKey{r.Endpoint, r.ID}]
-	if pending != nil && pending.pending {
+	order := s.c.orders[orderKey{r.Endpoint, r.ID}]
+	if order != nil && order.pending {
 		return
 	}
 	switch {
@@ -201,7 +201,7 @@
 	o.Epoch = s.pool.Epoch
 	o.Addr = e.Addr
 	o.Incarnation = e.Incarnation
-	// The token is taken from the same copy as the ownership. A newer state could already
+	// The token is taken from the same snapshot as the ownership. A newer state could already
 	// belong to the epoch of the next owner.
 	o.Fence = s.pool.Changed
 	s.effects = append(s.effects, Effect{Order: &o})
