--- a/pkg/idempotency/bench_test.go
+++ b/pkg/idempotency/bench_test.go
@@ -16,13 +16,13 @@
 // appendTime is the simulated duration of an append to the log.
 const appendTime = 4 * time.Millisecond
 
-// foldAppender applies records to the state after appendTime.
-type foldAppender struct {
+// stateAppender applies records to the state after appendTime.
+type stateAppender struct {
 	mu sync.Mutex
 	st *state.State
 }
 
-func (a *foldAppender) Append(_ context.Context, r record.Record) (state.Outcome, error) {
+func (a *stateAppender) Append(_ context.Context, r record.Record) (state.Outcome, error) {
 	time.Sleep(appendTime)
 	data, err := record.Encode(r)
 	if err != nil {
@@ -40,10 +40,10 @@
 	for _, rate := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
 			st := state.New()
-			l := idempotency.NewClaims(record.HostRef{Host: "h"}, &foldAppender{st: st}, st.Keys, 10*time.Millisecond, time.Now)
+			c := idempotency.NewClaims(record.HostRef{Host: "h"}, &stateAppender{st: st}, st.Keys, 10*time.Millisecond, time.Now)
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
-			go l.Run(ctx)
+			go c.Run(ctx)
 			var requests sync.WaitGroup
 			var mu sync.Mutex
 			var claiming time.Duration
@@ -54,18 +54,18 @@
 				requests.Go(func() {
 					key := record.Key{Customer: "c", Value: uuid.Must(uuid.NewV7()).String()}
 					claimed := time.Now()
-					if _, err := l.Claim(ctx, key, 1); err != nil {
+					if _, err := c.Claim(ctx, key, 1); err != nil {
 						b.Error(err)
 						return
 					}
 					mu.Lock()
 					claiming += time.Since(claimed)
 					mu.Unlock()
-					l.Finish(record.KeyOutcome{Key: key, Status: 200, Body: make([]byte, 200)})
+					c.Finish(record.KeyOutcome{Key: key, Status: 200, Body: make([]byte, 200)})
 				})
 			}
 			requests.Wait()
-			b.ReportMetric(float64(l.Batches())/time.Since(start).Seconds(), "appends/s")
+			b.ReportMetric(float64(c.Batches())/time.Since(start).Seconds(), "appends/s")
 			b.ReportMetric(float64(claiming.Microseconds())/float64(n)/1000, "claim-ms")
 		})
 	}
--- a/pkg/idempotency/claims.go
+++ b/pkg/idempotency/claims.go
@@ -1,6 +1,6 @@
-// Package idempotency runs non-idempotent requests at most once. A request is sent to an endpoint
-// only after its idempotency key was claimed by a record in the log. The first claim in the
-// log is valid for all hosts. Claims and outcomes are appended in batches.
+// Package idempotency ensures that non-idempotent requests run at most once. A request is sent
+// to an endpoint only after its idempotency key was claimed by a record in the log. The first
+// claim in the log is valid for all hosts. Claims and outcomes are appended in batches.
 package idempotency
 
 import (
@@ -40,7 +40,8 @@
 	Append(ctx context.Context, r record.Record) (state.Outcome, error)
 }
 
-// Claims claims idempotency keys for one host. It is safe for concurrent use.
+// Claims claims idempotency keys for one host and records the outcomes of their requests. It is
+// safe for concurrent use.
 type Claims struct {
 	self     record.HostRef
 	appender Appender
@@ -82,30 +83,30 @@
 // Claim claims a key for a request with the given digest. If the request was completed before,
 // Claim returns its outcome. If both results are nil, the caller owns the key and must call
 // Finish or Release.
-func (l *Claims) Claim(ctx context.Context, key record.Key, digest uint64) (*record.KeyOutcome, error) {
-	if outcome, err := l.lookup(key, digest); outcome != nil || err != nil {
+func (c *Claims) Claim(ctx context.Context, key record.Key, digest uint64) (*record.KeyOutcome, error) {
+	if outcome, err := c.lookup(key, digest); outcome != nil || err != nil {
 		return outcome, err
 	}
 	op := &operation{
-		claim: &record.KeyClaim{Key: key, Attempt: l.keys.Get(key).Attempt, Digest: digest},
+		claim: &record.KeyClaim{Key: key, Attempt: c.keys.Get(key).Attempt, Digest: digest},
 		done:  make(chan struct{}),
 	}
-	if err := l.submitClaim(op); err != nil {
+	if err := c.submitClaim(op); err != nil {
 		return nil, err
 	}
 	select {
 	case <-op.done:
 	case <-ctx.Done():
-		if l.abandon(op) {
+		if c.abandon(op) {
 			return nil, errors.Wrapf(ErrUnavailable, "%v", context.Cause(ctx))
 		}
 	}
-	entry := l.keys.Get(key)
-	if entry.State == state.KeyClaimed && entry.Holder == l.self && entry.Attempt == op.claim.Attempt {
+	entry := c.keys.Get(key)
+	if entry.State == state.KeyClaimed && entry.Holder == c.self && entry.Attempt == op.claim.Attempt {
 		return nil, nil
 	}
-	l.deactivate(key)
-	outcome, err := l.lookup(key, digest)
+	c.deactivate(key)
+	outcome, err := c.lookup(key, digest)
 	if outcome == nil && err == nil {
 		// The claim had no effect and the key is free again: another attempt claimed and
 		// released it concurrently.
@@ -116,8 +117,8 @@
 
 // lookup returns the outcome or error of a key according to the state, or nil for both if the
 // key is free.
-func (l *Claims) lookup(key record.Key, digest uint64) (*record.KeyOutcome, error) {
-	entry := l.keys.Get(key)
+func (c *Claims) lookup(key record.Key, digest uint64) (*record.KeyOutcome, error) {
+	entry := c.keys.Get(key)
 	if entry.State == state.KeyExpired {
 		return nil, ErrExpired
 	}
@@ -135,25 +136,25 @@
 
 // submitClaim queues a claim unless the same key is in use on this host. Otherwise two
 // requests would treat the same claim as their own, and both would run.
-func (l *Claims) submitClaim(op *operation) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.active[op.claim.Key] {
+func (c *Claims) submitClaim(op *operation) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.active[op.claim.Key] {
 		return ErrClaimed
 	}
-	if !l.pendingSince.IsZero() && l.now().Sub(l.pendingSince) > batchStallTimeout {
+	if !c.pendingSince.IsZero() && c.now().Sub(c.pendingSince) > batchStallTimeout {
 		return ErrUnavailable
 	}
-	l.active[op.claim.Key] = true
-	l.enqueue(op)
+	c.active[op.claim.Key] = true
+	c.enqueue(op)
 	return nil
 }
 
 // abandon marks a claim whose request was canceled. It returns false if the claim was
 // committed in the meantime.
-func (l *Claims) abandon(op *operation) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *Claims) abandon(op *operation) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	select {
 	case <-op.done:
 		return false
@@ -164,114 +165,114 @@
 }
 
 // Finish records the outcome of a request that was sent.
-func (l *Claims) Finish(outcome record.KeyOutcome) {
+func (c *Claims) Finish(outcome record.KeyOutcome) {
 	if len(outcome.Body) > MaxOutcomeBytes {
 		outcome.Body = nil
 		outcome.Omitted = true
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.active, outcome.Key)
-	l.enqueue(&operation{outcome: &outcome})
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.active, outcome.Key)
+	c.enqueue(&operation{outcome: &outcome})
 }
 
 // Release releases the key of a request that was certainly not sent.
-func (l *Claims) Release(key record.Key) {
-	attempt := l.keys.Get(key).Attempt
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.active, key)
-	l.enqueue(&operation{release: &record.KeyRelease{Key: key, Attempt: attempt}})
+func (c *Claims) Release(key record.Key) {
+	attempt := c.keys.Get(key).Attempt
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.active, key)
+	c.enqueue(&operation{release: &record.KeyRelease{Key: key, Attempt: attempt}})
 }
 
-func (l *Claims) deactivate(key record.Key) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.active, key)
+func (c *Claims) deactivate(key record.Key) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.active, key)
 }
 
-func (l *Claims) enqueue(op *operation) {
-	l.queue = append(l.queue, op)
+func (c *Claims) enqueue(op *operation) {
+	c.queue = append(c.queue, op)
 	select {
-	case l.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Pending returns the number of queued operations, plus one if a batch is being appended.
-func (l *Claims) Pending() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	n := len(l.queue)
-	if !l.pendingSince.IsZero() {
+func (c *Claims) Pending() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := len(c.queue)
+	if !c.pendingSince.IsZero() {
 		n++
 	}
 	return n
 }
 
 // Batches returns the number of batches that were started.
-func (l *Claims) Batches() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.batches
+func (c *Claims) Batches() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.batches
 }
 
 // Run appends batches until ctx is done.
-func (l *Claims) Run(ctx context.Context) {
+func (c *Claims) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.wake:
+		case <-c.wake:
 		}
-		for batch := l.nextBatch(); len(batch) > 0; batch = l.nextBatch() {
-			if !l.append(ctx, batch) {
+		for batch := c.nextBatch(); len(batch) > 0; batch = c.nextBatch() {
+			if !c.append(ctx, batch) {
 				return
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(l.interval):
+			case <-time.After(c.interval):
 			}
 		}
 	}
 }
 
-func (l *Claims) nextBatch() []*operation {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *Claims) nextBatch() []*operation {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	bytes, n := 0, 0
-	for n < len(l.queue) && n < maxBatch && bytes < maxBatchBytes {
-		if o := l.queue[n].outcome; o != nil {
+	for n < len(c.queue) && n < maxBatch && bytes < maxBatchBytes {
+		if o := c.queue[n].outcome; o != nil {
 			bytes += len(o.Body)
 		}
 		n++
 	}
-	batch := l.queue[:n:n]
-	l.queue = l.queue[n:]
+	batch := c.queue[:n:n]
+	c.queue = c.queue[n:]
 	if n > 0 {
-		l.pendingSince = l.now()
-		l.batches++
+		c.pendingSince = c.now()
+		c.batches++
 	}
 	return batch
 }
 
 // append appends one batch and reports whether it was committed. It retries with the same
 // record until it succeeds or ctx is done.
-func (l *Claims) append(ctx context.Context, batch []*operation) bool {
-	d := record.KeyBatch{Holder: l.self}
+func (c *Claims) append(ctx context.Context, batch []*operation) bool {
+	keyBatch := record.KeyBatch{Holder: c.self}
 	for _, op := range batch {
 		switch {
 		case op.claim != nil:
-			d.Claims = append(d.Claims, *op.claim)
+			keyBatch.Claims = append(keyBatch.Claims, *op.claim)
 		case op.outcome != nil:
-			d.Outcomes = append(d.Outcomes, *op.outcome)
+			keyBatch.Outcomes = append(keyBatch.Outcomes, *op.outcome)
 		case op.release != nil:
-			d.Releases = append(d.Releases, *op.release)
+			keyBatch.Releases = append(keyBatch.Releases, *op.release)
 		}
 	}
-	r := record.Record{ID: record.NewID(), KeyBatch: &d}
+	r := record.Record{ID: record.NewID(), KeyBatch: &keyBatch}
 	for {
-		_, err := l.appender.Append(ctx, r)
+		_, err := c.appender.Append(ctx, r)
 		if ctx.Err() != nil {
 			return false
 		}
@@ -279,16 +280,16 @@
 			break
 		}
 	}
-	l.complete(batch)
+	c.complete(batch)
 	return true
 }
 
-// complete notifies the waiting callers of a committed batch and releases the keys of abandoned
-// claims.
-func (l *Claims) complete(batch []*operation) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.pendingSince = time.Time{}
+// complete notifies the waiting callers of a committed batch and releases the keys of
+// abandoned claims.
+func (c *Claims) complete(batch []*operation) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pendingSince = time.Time{}
 	for _, op := range batch {
 		if op.done == nil {
 			continue
@@ -297,10 +298,10 @@
 		if !op.abandoned {
 			continue
 		}
-		delete(l.active, op.claim.Key)
-		entry := l.keys.Get(op.claim.Key)
-		if entry.State == state.KeyClaimed && entry.Holder == l.self && entry.Attempt == op.claim.Attempt {
-			l.enqueue(&operation{release: &record.KeyRelease{Key: op.claim.Key, Attempt: op.claim.Attempt}})
+		delete(c.active, op.claim.Key)
+		entry := c.keys.Get(op.claim.Key)
+		if entry.State == state.KeyClaimed && entry.Holder == c.self && entry.Attempt == op.claim.Attempt {
+			c.enqueue(&operation{release: &record.KeyRelease{Key: op.claim.Key, Attempt: op.claim.Attempt}})
 		}
 	}
 }
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease decides when a host tries to claim a pool. It only decides when to try.
-// Which of several claims is valid follows from their order in the log.
+// Package lease decides when a host tries to claim a pool. Which of several claims is valid is
+// determined by their order in the log.
 package lease
 
 import (
@@ -29,9 +29,10 @@
 	return &Watcher{ttl: ttl, heartbeats: map[record.HostRef]heartbeat{}}
 }
 
-// Observe records the sessions of the replicated state. fresh is set if the log was
-// readable since the last call. Time during which it was not counts for no session, because
-// no host could renew: otherwise all owners would expire at the end of an outage.
+// Observe records the sessions of the replicated state. fresh reports whether the log was
+// readable since the last call. If it was not, the time since the last call does not count
+// towards the expiry of any session, because no host could renew its session. Otherwise all
+// owners would expire after an outage of the log.
 func (w *Watcher) Observe(now time.Time, sessions []state.Session, fresh bool) {
 	outage := time.Duration(0)
 	if !fresh && !w.lastObserved.IsZero() {
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -19,7 +19,7 @@
 
 // Guards against all owners expiring after an outage of the log, during which no host could
 // renew.
-func TestLogOutageExpiresNoSession(t *testing.T) {
+func TestLogOutageDoesNotExpireSessions(t *testing.T) {
 	is := is.New(t)
 	w := lease.NewWatcher(ttl)
 	start := time.Unix(0, 0)
@@ -34,7 +34,7 @@
 	is.True(!w.Live(start.Add(66*time.Second), s.HostRef))
 }
 
-// Guards against two leaving hosts that pass a pool to each other and both stop with it.
+// Guards against two leaving hosts that hand a pool to each other until both have stopped.
 func TestLeavingHostsDoNotClaim(t *testing.T) {
 	is := is.New(t)
 	w := lease.NewWatcher(ttl)
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -24,7 +24,8 @@
 	// read. A longer body is written concurrently, since an endpoint may respond early and
 	// stop reading.
 	maxInlineBody = 8 << 10
-	// maxStrayResponses is the number of responses to earlier requests that are skipped.
+	// maxStrayResponses limits the number of late responses to earlier requests that are
+	// skipped.
 	maxStrayResponses = 2
 	// maxStrayBytes limits the size of the body of such a response.
 	maxStrayBytes = 1 << 20
@@ -187,8 +188,8 @@
 }
 
 // Do sends a request once and returns the head of the response. An error marked ErrNotSent
-// means that nothing was sent. After any other error the request may run. Canceling ctx closes
-// the connection, which tells the endpoint to stop.
+// means that nothing was sent. After any other error the request may have run. Canceling ctx
+// closes the connection, which tells the endpoint to stop.
 func (p *Pool) Do(ctx context.Context, r Request) (*http.Response, error) {
 	c, err := p.get(ctx)
 	if err != nil {
--- a/pkg/upstream/pool_test.go
+++ b/pkg/upstream/pool_test.go
@@ -155,8 +155,8 @@
 	is.Equal(conns.Load(), int32(2))
 }
 
-// A response shorter than its Content-Length must return an error. One without a length ends
-// with its connection.
+// A response shorter than its Content-Length must return an error. A response without a
+// Content-Length ends when its connection is closed.
 func TestTruncatedBodyReturnsError(t *testing.T) {
 	is := is.New(t)
 	addr, _ := serveRaw(t, func(c net.Conn, _ int, r *http.Request) {
@@ -198,7 +198,7 @@
 	is.NoErr(<-done)
 }
 
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+func TestRefusedConnectionReturnsErrNotSent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
