--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -77,22 +77,22 @@
 	return w.Deadline
 }
 
-// Next returns the waiter to serve next, or nil if the queue is empty. It is the one with the
-// earliest deadline of the customer with the fewest turns, so that a burst of one customer
-// does not starve the others.
-func (q *Queue) Next(turns func(customer string) int) *Waiter {
+// Next returns the waiter to serve next, or nil if the queue is empty. It selects the customer
+// with the fewest grants, so that a burst of one customer does not starve the others, and of
+// its waiters the one with the earliest deadline.
+func (q *Queue) Next(grants func(customer string) int) *Waiter {
 	var best *Waiter
-	for _, items := range q.customers {
-		w := (*items)[0]
-		if best == nil || before(w, best, turns) {
+	for _, waiters := range q.customers {
+		w := (*waiters)[0]
+		if best == nil || before(w, best, grants) {
 			best = w
 		}
 	}
 	return best
 }
 
-func before(a, b *Waiter, turns func(string) int) bool {
-	if x, y := turns(a.Customer), turns(b.Customer); x != y {
+func before(a, b *Waiter, grants func(string) int) bool {
+	if x, y := grants(a.Customer), grants(b.Customer); x != y {
 		return x < y
 	}
 	return earlier(a, b)
@@ -101,12 +101,12 @@
 // Ahead returns the number of a customer's waiters that are served before a new one with the
 // given deadline.
 func (q *Queue) Ahead(customer string, deadline time.Time) int {
-	items := q.customers[customer]
-	if items == nil {
+	waiters := q.customers[customer]
+	if waiters == nil {
 		return 0
 	}
 	n := 0
-	for _, w := range *items {
+	for _, w := range *waiters {
 		if !w.Deadline.After(deadline) {
 			n++
 		}
@@ -120,8 +120,8 @@
 // InOrder returns each customer's waiters in the order in which they are served.
 func (q *Queue) InOrder() map[string][]*Waiter {
 	all := make(map[string][]*Waiter, len(q.customers))
-	for customer, items := range q.customers {
-		list := slices.Clone(*items)
+	for customer, waiters := range q.customers {
+		list := slices.Clone(*waiters)
 		slices.SortFunc(list, func(a, b *Waiter) int {
 			return cmp.Or(a.Deadline.Compare(b.Deadline), cmp.Compare(a.seq, b.seq))
 		})
--- a/pkg/admission/admission_test.go
+++ b/pkg/admission/admission_test.go
@@ -13,31 +13,31 @@
 func TestEarliestDeadlineFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q admission.Queue
-		var model []*admission.Waiter
+		var expected []*admission.Waiter
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch {
-			case len(model) > 0 && rapid.IntRange(0, 2).Draw(t, "pop") == 0:
+			case len(expected) > 0 && rapid.IntRange(0, 2).Draw(t, "pop") == 0:
 				w := q.Next(func(string) int { return 0 })
 				q.Remove(w)
-				for _, other := range model {
+				for _, other := range expected {
 					if other.Deadline.Before(w.Deadline) {
 						t.Fatalf("waiter with deadline %s was served before one with %s", w.Deadline, other.Deadline)
 					}
 				}
-				model = remove(model, w)
-			case len(model) > 0 && rapid.IntRange(0, 3).Draw(t, "remove") == 0:
-				w := model[rapid.IntRange(0, len(model)-1).Draw(t, "which")]
+				expected = remove(expected, w)
+			case len(expected) > 0 && rapid.IntRange(0, 3).Draw(t, "remove") == 0:
+				w := expected[rapid.IntRange(0, len(expected)-1).Draw(t, "which")]
 				if !q.Remove(w) || q.Remove(w) {
 					t.Fatal("first removal of a waiter failed, or second one succeeded")
 				}
-				model = remove(model, w)
+				expected = remove(expected, w)
 			default:
 				w := admission.NewWaiter("c", time.Unix(int64(rapid.IntRange(0, 20).Draw(t, "deadline")), 0))
 				q.Push(w)
-				model = append(model, w)
+				expected = append(expected, w)
 			}
-			if q.Len() != len(model) || len(q.InOrder()["c"]) != len(model) {
-				t.Fatalf("queue has %d waiters, want %d", q.Len(), len(model))
+			if q.Len() != len(expected) || len(q.InOrder()["c"]) != len(expected) {
+				t.Fatalf("queue has %d waiters, want %d", q.Len(), len(expected))
 			}
 		}
 	})
@@ -47,21 +47,21 @@
 	return slices.DeleteFunc(list, func(x *admission.Waiter) bool { return x == w })
 }
 
-// A burst of one customer must not starve another: the customer with fewer turns is served
-// first, by its own deadlines.
-func TestCustomerWithFewerTurnsFirst(t *testing.T) {
+// A burst of one customer must not starve another: the customer with fewer grants is served
+// first, in order of its own deadlines.
+func TestCustomerWithFewerGrantsFirst(t *testing.T) {
 	var q admission.Queue
 	at := func(s int64) time.Time { return time.Unix(s, 0) }
 	for i := range int64(3) {
 		q.Push(admission.NewWaiter("burst", at(i)))
 	}
 	q.Push(admission.NewWaiter("small", at(9)))
-	turns := map[string]int{"burst": 2, "small": 1}
-	count := func(customer string) int { return turns[customer] }
+	grants := map[string]int{"burst": 2, "small": 1}
+	count := func(customer string) int { return grants[customer] }
 	if w := q.Next(count); w.Customer != "small" {
 		t.Fatalf("customer %s is served first, want small", w.Customer)
 	}
-	turns["small"] = 2
+	grants["small"] = 2
 	if w := q.Next(count); w.Customer != "burst" || !w.Deadline.Equal(at(0)) {
 		t.Fatalf("customer %s with deadline %s is served first, want burst with %s", w.Customer, w.Deadline, at(0))
 	}
--- a/pkg/keepalive/bench_test.go
+++ b/pkg/keepalive/bench_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// BenchmarkKeepAlive reports idle accelerator hours and cold starts for a simulated week, for
-// fixed timeouts and for the policy by the cost of a second of cold start.
+// BenchmarkKeepAlive reports idle accelerator hours and cold starts in a simulated week, for
+// fixed timeouts and for the policy with several costs of a second of cold start.
 func BenchmarkKeepAlive(b *testing.B) {
 	for _, customer := range []struct {
 		name   string
--- a/pkg/keepalive/keepalive.go
+++ b/pkg/keepalive/keepalive.go
@@ -114,9 +114,9 @@
 	return best
 }
 
-// table holds prefix sums over the buckets, so that the cost of a plan is computed in constant
-// time.
-type table struct {
+// costTable holds prefix sums over the buckets, so that the cost of a plan is computed in
+// constant time.
+type costTable struct {
 	cost Cost
 	// weight and seconds hold the sums over buckets 0 to i at index i+1.
 	weight  [buckets + 2]float64
@@ -124,8 +124,8 @@
 	total   float64
 }
 
-func (g *Gaps) prefixSums(c Cost) *table {
-	t := &table{cost: c, total: g.total}
+func (g *Gaps) prefixSums(c Cost) *costTable {
+	t := &costTable{cost: c, total: g.total}
 	for i := range g.weight {
 		t.weight[i+1] = t.weight[i] + g.weight[i]
 		t.seconds[i+1] = t.seconds[i] + g.sum[i]
@@ -133,21 +133,21 @@
 	return t
 }
 
-func (t *table) bucketEnd(i int) time.Duration {
+func (t *costTable) bucketEnd(i int) time.Duration {
 	if i < 0 {
 		return 0
 	}
 	return upperBound(i)
 }
 
-func (t *table) idleCost(seconds float64) float64 { return seconds / 3600 * t.cost.IdleHour }
+func (t *costTable) idleCost(seconds float64) float64 { return seconds / 3600 * t.cost.IdleHour }
 
-func (t *table) coldStartCost(weight float64) float64 {
+func (t *costTable) coldStartCost(weight float64) float64 {
 	return weight * t.cost.Load.Seconds() * t.cost.ColdStartSecond
 }
 
 // keepCost returns the cost of keeping the model loaded up to the upper bound of bucket i.
-func (t *table) keepCost(i int) float64 {
+func (t *costTable) keepCost(i int) float64 {
 	inside := t.weight[i+1]
 	seconds := t.seconds[i+1] + (t.total-inside)*t.bucketEnd(i).Seconds()
 	return t.idleCost(seconds) + t.coldStartCost(t.total-inside)
@@ -155,7 +155,7 @@
 
 // preloadCost returns the cost of unloading the model at once and preloading it for the
 // buckets after from up to until. The load itself also occupies the accelerator.
-func (t *table) preloadCost(from, until int) float64 {
+func (t *costTable) preloadCost(from, until int) float64 {
 	start := t.bucketEnd(from).Seconds()
 	inside := t.weight[until+1] - t.weight[from+1]
 	after := t.total - t.weight[until+1]
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// slices is the number of slices of the sliding window.
-const slices = 20
+// windowSlices is the number of slices of a sliding window.
+const windowSlices = 20
 
 // Limits configures a budget that is shared by all hosts.
 type Limits struct {
@@ -34,9 +34,10 @@
 
 // window counts requests and retries in the slices of a sliding window.
 type window struct {
-	requests [slices]int
-	retries  [slices]int
-	slice    int64
+	requests [windowSlices]int
+	retries  [windowSlices]int
+	// current is the number of the latest slice, counted from the Unix epoch.
+	current int64
 }
 
 // NewBudget returns a budget that uses the given share of the allowed retries. A share below 1
@@ -57,7 +58,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.advance(now, service)
-	w.requests[w.slice%slices]++
+	w.requests[w.current%windowSlices]++
 }
 
 // spareShare is the part of the budget that TakeSpare may use. The rest is reserved for
@@ -78,7 +79,7 @@
 	defer b.mu.Unlock()
 	w := b.advance(now, service)
 	requests, retries := 0, 0
-	for i := range slices {
+	for i := range windowSlices {
 		requests += w.requests[i]
 		retries += w.retries[i]
 	}
@@ -86,23 +87,23 @@
 	if float64(retries+1) > min(allowed, max(1, maxPart*allowed)) {
 		return false
 	}
-	w.retries[w.slice%slices]++
+	w.retries[w.current%windowSlices]++
 	return true
 }
 
 // advance returns the window of a service, advanced to now. It must be called with mu held.
 func (b *Budget) advance(now time.Time, service string) *window {
-	slice := now.UnixNano() / int64(b.limits.Window/slices)
+	slice := now.UnixNano() / int64(b.limits.Window/windowSlices)
 	w := b.services[service]
 	if w == nil {
-		w = &window{slice: slice}
+		w = &window{current: slice}
 		b.services[service] = w
 	}
-	for step := int64(0); w.slice < slice && step < slices; step++ {
-		w.slice++
-		w.requests[w.slice%slices] = 0
-		w.retries[w.slice%slices] = 0
+	for step := int64(0); w.current < slice && step < windowSlices; step++ {
+		w.current++
+		w.requests[w.current%windowSlices] = 0
+		w.retries[w.current%windowSlices] = 0
 	}
-	w.slice = max(w.slice, slice)
+	w.current = max(w.current, slice)
 	return w
 }
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -13,8 +13,8 @@
 	Zone    string
 	// OwnRequests is the number of this host's running requests at the replica.
 	OwnRequests int
-	// OtherRequests is the number of other hosts' requests at the replica according to its last load
-	// report, and ReportAge the age of that report.
+	// OtherRequests is the number of other hosts' requests at the replica according to its last
+	// load report, and ReportAge the age of that report.
 	OtherRequests int
 	ReportAge     time.Duration
 	// Limit is the maximum number of this host's concurrent requests.
@@ -44,12 +44,12 @@
 // the same zone or has the prompt prefix cached, may be busier than the alternative.
 const preferredLoadMargin = 1.0
 
-// Pick returns the index of the replica to use, or -1 if none has a free slot. pick returns a
-// random number below n. Pick compares two candidates. The first is one of the same
-// availability zone if there is any, chosen by rendezvous hashing if an affinity is set. The
-// second is chosen at random, so that hosts with the same outdated load reports do not all
+// Pick returns the index of the replica to use, or -1 if none has a free slot. randIntN
+// returns a random number from 0 to n-1. Pick compares two candidates. The first is in the
+// same availability zone if possible, and chosen by rendezvous hashing if an affinity is set.
+// The second is chosen at random, so that hosts with the same outdated load reports do not all
 // choose the same replica.
-func Pick(candidates []Candidate, options Options, pick func(n int) int) int {
+func Pick(candidates []Candidate, options Options, randIntN func(n int) int) int {
 	var available, sameZone []int
 	for i, x := range candidates {
 		if x.OwnRequests >= x.Limit {
@@ -66,11 +66,11 @@
 	if len(sameZone) == 0 {
 		sameZone = available
 	}
-	a := sameZone[pick(len(sameZone))]
+	a := sameZone[randIntN(len(sameZone))]
 	if options.Affinity != "" {
 		a = preferred(candidates, sameZone, options.Affinity)
 	}
-	b := available[pick(len(available))]
+	b := available[randIntN(len(available))]
 	if better(candidates[b], candidates[a], options.ServiceTime) {
 		return b
 	}
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -17,7 +17,7 @@
 func TestPickRespectsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []routing.Candidate
-		room := false
+		slotFree := false
 		for i := range rapid.IntRange(0, 6).Draw(t, "n") {
 			c := routing.Candidate{
 				Replica:       fmt.Sprint(i),
@@ -26,12 +26,12 @@
 				Limit:         rapid.IntRange(1, 4).Draw(t, "limit"),
 				Suspect:       rapid.Bool().Draw(t, "suspect"),
 			}
-			room = room || c.OwnRequests < c.Limit
+			slotFree = slotFree || c.OwnRequests < c.Limit
 			list = append(list, c)
 		}
 		i := routing.Pick(list, routing.Options{Zone: "z", ServiceTime: time.Second}, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
-		if (i >= 0) != room {
-			t.Fatalf("picked %d of %+v, a slot is free: %t", i, list, room)
+		if (i >= 0) != slotFree {
+			t.Fatalf("picked %d of %+v, a slot is free: %t", i, list, slotFree)
 		}
 		if i >= 0 && list[i].OwnRequests >= list[i].Limit {
 			t.Fatalf("picked %+v, which has no free slot", list[i])
@@ -73,22 +73,22 @@
 	return samples[i-1].load
 }
 
-type finish struct {
+type completion struct {
 	at      time.Duration
 	replica int
 	host    int
 }
 
-type finishes []finish
+type completionHeap []completion
 
-func (f finishes) Len() int           { return len(f) }
-func (f finishes) Less(i, j int) bool { return f[i].at < f[j].at }
-func (f finishes) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
-func (f *finishes) Push(x any)        { *f = append(*f, x.(finish)) }
-func (f *finishes) Pop() any {
-	old := *f
+func (h completionHeap) Len() int           { return len(h) }
+func (h completionHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h completionHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *completionHeap) Push(x any)        { *h = append(*h, x.(completion)) }
+func (h *completionHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*f = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
 
@@ -130,13 +130,13 @@
 		replicas[i] = &simReplica{free: make([]time.Duration, simSlots)}
 	}
 	mean := float64(simService) / (simReplicas * simSlots * simLoad)
-	var running finishes
+	var running completionHeap
 	var times []time.Duration
 	now := time.Duration(0)
 	for range simRequests {
 		now += time.Duration(rnd.ExpFloat64() * mean)
 		for len(running) > 0 && running[0].at <= now {
-			done := heap.Pop(&running).(finish)
+			done := heap.Pop(&running).(completion)
 			r := replicas[done.replica]
 			r.addLoad(done.at, done.host, -1)
 		}
@@ -144,7 +144,7 @@
 		i := choose(replicas, host, now, lag, rnd)
 		end := replicas[i].start(now, time.Duration(rnd.ExpFloat64()*float64(simService)))
 		replicas[i].addLoad(now, host, 1)
-		heap.Push(&running, finish{end, i, host})
+		heap.Push(&running, completion{end, i, host})
 		times = append(times, end-now)
 	}
 	slices.Sort(times)
