--- a/pkg/completion/backend.go
+++ b/pkg/completion/backend.go
@@ -30,7 +30,7 @@
 		if refusal != nil {
 			return nil, st.keyRefusal(refusal)
 		}
-		return newAnswer(body), nil
+		return newResponse(body), nil
 	}
 	if !st.call.Model.Loadable() {
 		return b.callService(ctx, st, s)
@@ -43,7 +43,7 @@
 	return &serve.Refusal{Cause: causeKey, NotRun: r.NotRun(), RetryAfter: r.RetryAfter, Detail: r}
 }
 
-func newAnswer(body io.ReadCloser) *serve.Response {
+func newResponse(body io.ReadCloser) *serve.Response {
 	return &serve.Response{Class: serve.Completed, Status: http.StatusOK, Body: body}
 }
 
@@ -65,7 +65,7 @@
 		return classifyError(err)
 	}
 	cancel := func() { b.cancel(ctx, s.Endpoint.Addr, st.call.RequestID) }
-	return newAnswer(&tokenBody{stream: stream, cancel: cancel}), nil
+	return newResponse(&tokenBody{stream: stream, cancel: cancel}), nil
 }
 
 // classifyError maps an error of external.Engine to a response or to the errors
@@ -104,11 +104,11 @@
 	if err != nil {
 		return classifyError(err)
 	}
-	return newAnswer(io.NopCloser(bytes.NewReader(response.Body))), nil
+	return newResponse(io.NopCloser(bytes.NewReader(response.Body))), nil
 }
 
-// RunStatus implements serve.Backend. These engines do not report the state of single
-// calls, so the call is taken as held.
+// RunStatus implements serve.Backend. Engines do not report the state of single calls,
+// so each call is assumed to be waiting or running.
 func (b backend) RunStatus(context.Context, *serve.Request, fleet.Endpoint) (serve.RunStatus, error) {
 	return serve.RunStatus{Active: true}, nil
 }
--- a/pkg/completion/call.go
+++ b/pkg/completion/call.go
@@ -101,7 +101,8 @@
 type Meter interface {
 	// RecordFirstToken records the time until the first part of a response.
 	RecordFirstToken(model string, cold bool, after time.Duration)
-	// RecordRetry counts a further send: before the response starts, or to resume it.
+	// RecordRetry counts a retry. kind is "start" before the response has begun and
+	// "resume" for a response that broke off.
 	RecordRetry(model, kind string)
 }
 
--- a/pkg/completion/refusal.go
+++ b/pkg/completion/refusal.go
@@ -74,11 +74,11 @@
 // convertRefusal converts a refusal of package serve.
 func convertRefusal(r serve.Refusal) *Refusal {
 	var detail *Refusal
-	known := errors.As(r.Detail, &detail)
+	hasDetail := errors.As(r.Detail, &detail)
 	switch {
-	case known && r.NotRun == detail.NotRun():
+	case hasDetail && r.NotRun == detail.NotRun():
 		return detail
-	case known:
+	case hasDetail:
 		outcomeUnknown := OutcomeUnknown("an endpoint failed while it ran the request, and then: %s", detail.Message)
 		outcomeUnknown.RetryAfter = r.RetryAfter
 		return outcomeUnknown
--- a/pkg/completion/stream.go
+++ b/pkg/completion/stream.go
@@ -36,28 +36,28 @@
 	ctx, cancel := context.WithCancel(ctx)
 	tokens := make(chan external.Token)
 	st := &callState{runner: r, call: c}
-	a := &Stream{Call: c, Started: r.cfg.Now(), state: st, tokens: tokens, cancel: cancel}
+	s := &Stream{Call: c, Started: r.cfg.Now(), state: st, tokens: tokens, cancel: cancel}
 	r.background.Go(func() {
 		defer close(tokens)
-		r.execute(ctx, st, &tokenSink{ctx: ctx, state: st, started: a.Started, out: tokens})
+		r.execute(ctx, st, &tokenSink{ctx: ctx, state: st, started: s.Started, out: tokens})
 		st.finishUnknown()
 	})
-	first, refusal := a.receive()
+	first, refusal := s.receive()
 	if refusal != nil {
 		cancel()
 		return nil, refusal
 	}
-	a.first = &first
-	return a, nil
+	s.first = &first
+	return s, nil
 }
 
-func (a *Stream) receive() (external.Token, *Refusal) {
-	t, ok := <-a.tokens
+func (s *Stream) receive() (external.Token, *Refusal) {
+	t, ok := <-s.tokens
 	switch {
 	case ok:
 		return t, nil
-	case a.state.refusal != nil:
-		return t, a.state.refusal
+	case s.state.refusal != nil:
+		return t, s.state.refusal
 	default:
 		return t, brokenStream()
 	}
@@ -65,36 +65,36 @@
 
 // Next returns the next token; Done marks the last one. A refusal means that
 // the completion is incomplete.
-func (a *Stream) Next() (external.Token, *Refusal) {
-	if a.first == nil {
-		t, refusal := a.receive()
+func (s *Stream) Next() (external.Token, *Refusal) {
+	if s.first == nil {
+		t, refusal := s.receive()
 		if refusal == nil {
-			a.taken++
+			s.taken++
 		}
 		return t, refusal
 	}
-	t := *a.first
-	a.first = nil
-	a.taken++
+	t := *s.first
+	s.first = nil
+	s.taken++
 	return t, nil
 }
 
 // Close cancels the rest of the completion. It is a no-op after the last token.
-func (a *Stream) Close() { a.cancel() }
+func (s *Stream) Close() { s.cancel() }
 
 // Collect reads the completion to its end and closes it.
-func (a *Stream) Collect() (text string, tokens int, reason string, refusal *Refusal) {
-	defer a.Close()
+func (s *Stream) Collect() (text string, tokens int, reason string, refusal *Refusal) {
+	defer s.Close()
 	var all []byte
 	for {
-		token, refusal := a.Next()
+		token, refusal := s.Next()
 		if refusal != nil {
 			// The caller has received no part of the response yet, so the
 			// broken_stream code does not apply.
 			return "", 0, "", OutcomeUnknown("%s", refusal.Message)
 		}
 		if token.Done {
-			return string(all), max(a.state.replayedTokens, a.taken-1), token.Reason, nil
+			return string(all), max(s.state.replayedTokens, s.taken-1), token.Reason, nil
 		}
 		all = append(all, token.Text...)
 	}
--- a/pkg/completion/tokens.go
+++ b/pkg/completion/tokens.go
@@ -80,11 +80,11 @@
 type tokenDecoder struct{ pending []byte }
 
 // decode appends p to the input and returns the tokens that are now complete.
-func (r *tokenDecoder) decode(p []byte) ([]external.Token, error) {
-	r.pending = append(r.pending, p...)
+func (d *tokenDecoder) decode(p []byte) ([]external.Token, error) {
+	d.pending = append(d.pending, p...)
 	var tokens []external.Token
 	for {
-		event, rest, found := bytes.Cut(r.pending, []byte(eventEnd))
+		event, rest, found := bytes.Cut(d.pending, []byte(eventEnd))
 		if !found {
 			return tokens, nil
 		}
@@ -94,6 +94,6 @@
 			return nil, errors.Wrap(err, "decode token")
 		}
 		tokens = append(tokens, t)
-		r.pending = rest
+		d.pending = rest
 	}
 }
--- a/pkg/openai/completions.go
+++ b/pkg/openai/completions.go
@@ -60,8 +60,8 @@
 // eventEncoder encodes a started completion as an event stream.
 type eventEncoder func(*completion.Stream) (io.ReadCloser, *completion.Refusal)
 
-// generate runs a completion. If stream is set, it returns an event stream that
-// encode produces, and the complete result otherwise.
+// generate runs a completion. If stream is set, it returns the event stream that
+// encode produces. Otherwise it returns the complete result.
 func (h Handler) generate(ctx context.Context, in generateRequest, stream bool, encode eventEncoder) (io.ReadCloser, result, *completion.Refusal) {
 	tokenStream, refusal := h.start(ctx, in)
 	if refusal != nil {
@@ -78,7 +78,7 @@
 
 // CreateChatCompletion implements callers.Handler.
 func (h Handler) CreateChatCompletion(ctx context.Context, req *callers.ChatRequest, params callers.CreateChatCompletionParams) (callers.CreateChatCompletionRes, error) {
-	events, answer, refusal := h.generate(ctx, generateRequest{
+	events, result, refusal := h.generate(ctx, generateRequest{
 		model:       req.Model,
 		prompt:      chatPrompt(req.Messages),
 		maxTokens:   req.MaxTokens,
@@ -93,15 +93,15 @@
 		return &callers.CreateChatCompletionOKTextEventStream{Data: events}, nil
 	}
 	return &callers.ChatCompletion{
-		ID:      answer.id,
+		ID:      result.id,
 		Object:  "chat.completion",
 		Created: h.Host.Now().Unix(),
 		Model:   req.Model,
 		Choices: []callers.ChatChoice{{
-			Message:      callers.ChatMessage{Role: "assistant", Content: answer.text},
-			FinishReason: answer.reason,
+			Message:      callers.ChatMessage{Role: "assistant", Content: result.text},
+			FinishReason: result.reason,
 		}},
-		Usage: callers.TokenUsage{CompletionTokens: answer.tokens},
+		Usage: callers.TokenUsage{CompletionTokens: result.tokens},
 	}, nil
 }
 
@@ -117,7 +117,7 @@
 
 // CreateCompletion implements callers.Handler.
 func (h Handler) CreateCompletion(ctx context.Context, req *callers.CompletionRequest, params callers.CreateCompletionParams) (callers.CreateCompletionRes, error) {
-	events, answer, refusal := h.generate(ctx, generateRequest{
+	events, result, refusal := h.generate(ctx, generateRequest{
 		model:       req.Model,
 		prompt:      req.Prompt,
 		maxTokens:   req.MaxTokens,
@@ -131,7 +131,7 @@
 	case events != nil:
 		return &callers.CreateCompletionOKTextEventStream{Data: events}, nil
 	}
-	out := newCompletion(answer.id, req.Model, h.Host.Now(), answer.text, answer.tokens, answer.reason)
+	out := newCompletion(result.id, req.Model, h.Host.Now(), result.text, result.tokens, result.reason)
 	return &out, nil
 }
 
