--- a/pkg/pool/messages.go
+++ b/pkg/pool/messages.go
@@ -58,8 +58,8 @@
 	record.EndpointRegistered
 	// Draining is set if no new replicas may be placed on the endpoint.
 	Draining bool
-	// Reachable is set if the endpoint answered the last health check. Loaded is taken from that
-	// answer.
+	// Reachable is set if the endpoint responded to the last health check. Loaded is taken from
+	// that response.
 	Reachable bool
 	Loaded    []record.ReplicaID
 }
--- a/pkg/serve/attempt.go
+++ b/pkg/serve/attempt.go
@@ -149,7 +149,7 @@
 	return attemptFailed
 }
 
-// sendFallback forwards a failed response that was kept.
+// sendFallback forwards the fallback response, which reports a server error.
 func (x *exchange) sendFallback(response *Response) {
 	x.result.Status = response.Status
 	if err := x.forward(response, nil, x.result.Endpoint); err != nil {
--- a/pkg/serve/forward.go
+++ b/pkg/serve/forward.go
@@ -150,7 +150,7 @@
 	w := &stallWatcher{now: s.Now, lastByte: start}
 	route := x.request.Route
 	if !route.Retryable() || x.result.Runs+1 >= route.Attempts || route.Objective == 0 {
-		// Without an objective, a slow response cannot be told from a stalled endpoint.
+		// Without an objective, a slow endpoint cannot be distinguished from a stalled one.
 		return w
 	}
 	timeout := x.progressTimeout()
--- a/pkg/serve/guard.go
+++ b/pkg/serve/guard.go
@@ -115,7 +115,8 @@
 	}
 }
 
-// enter blocks until the guard lets the request wait for a slot.
+// enter blocks until the guard allows the request to wait for a slot, and reports whether it
+// does.
 func (x *exchange) enter(ctx context.Context) bool {
 	if !x.guarded() {
 		return true
--- a/pkg/serve/guard_test.go
+++ b/pkg/serve/guard_test.go
@@ -15,14 +15,14 @@
 
 // fakeGuard is a guard that blocks all requests while blocks is set.
 type fakeGuard struct {
-	mu           sync.Mutex
-	blocks       bool
-	blockOnBreak bool
-	broken       []bool
-	served       int
-	unreachable  int
-	suspect      bool
-	probe        probe
+	mu                 sync.Mutex
+	blocks             bool
+	blockOnBreak       bool
+	brokenReports      []bool
+	served             int
+	unreachableReports int
+	suspect            bool
+	probe              probe
 }
 
 func (g *fakeGuard) Blocked(fleet.Fingerprint) bool {
@@ -34,14 +34,14 @@
 func (g *fakeGuard) RecordBroken(_ fleet.Endpoint, _ fleet.Fingerprint, _ fleet.CopyID, suspected bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.broken = append(g.broken, suspected)
+	g.brokenReports = append(g.brokenReports, suspected)
 	g.blocks = g.blocks || g.blockOnBreak
 }
 
 func (g *fakeGuard) RecordUnreachable(fleet.Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.unreachable++
+	g.unreachableReports++
 }
 
 func (g *fakeGuard) Enter(context.Context, fleet.Fingerprint, time.Time) (serve.Probe, bool) {
@@ -176,9 +176,9 @@
 		defer cancel()
 		s.Serve(ctx, r, &sink{})
 		s.Serve(context.Background(), r, &sink{})
-		is.Equal(g.broken, []bool{true, false})
+		is.Equal(g.brokenReports, []bool{true, false})
 		is.Equal(g.served, 1)
-		is.Equal(g.unreachable, 1)
+		is.Equal(g.unreachableReports, 1)
 	})
 }
 
--- a/pkg/serve/queue.go
+++ b/pkg/serve/queue.go
@@ -21,7 +21,7 @@
 	// RecordFirstByte records the time from sending a request to the first byte of its
 	// response.
 	RecordFirstByte(r *Request, after time.Duration)
-	// HasAlternative reports whether an endpoint other than e could serve the request now.
+	// HasAlternative reports whether an endpoint other than e can serve the request now.
 	HasAlternative(r *Request, e fleet.EndpointID) bool
 	// ServiceTime returns the moving average of the service time of a service.
 	ServiceTime(service string) time.Duration
