--- a/pkg/pool/bench_test.go
+++ b/pkg/pool/bench_test.go
@@ -70,7 +70,7 @@
 			for range b.N {
 				c.Report(now, "h2", usage)
 				if effects := c.Step(now, st); len(effects) > 0 {
-					b.Fatal("number of effects of a Step that needs none:", len(effects))
+					b.Fatal(len(effects))
 				}
 			}
 		})
--- a/pkg/pool/simulation_test.go
+++ b/pkg/pool/simulation_test.go
@@ -17,8 +17,8 @@
 	capacityMB = 100
 )
 
-// failer is the common part of *testing.T and *rapid.T.
-type failer interface {
+// testingT is the common part of *testing.T and *rapid.T.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
@@ -27,7 +27,7 @@
 // simulation runs controllers on simulated hosts, a log and endpoints. Messages wait until they
 // are delivered. Its checks use only the log and the replicas that the endpoints have loaded.
 type simulation struct {
-	t         failer
+	t         testingT
 	now       time.Time
 	log       [][]byte
 	hosts     []*host
@@ -63,11 +63,11 @@
 }
 
 type endpoint struct {
-	name        string
-	fencing     bool
-	incarnation record.Incarnation
-	token       record.Offset
-	loaded      map[record.ReplicaID]pool.Order
+	name         string
+	fencing      bool
+	incarnation  record.Incarnation
+	highestFence record.Offset
+	loaded       map[record.ReplicaID]pool.Order
 }
 
 // limits are the contract's limits by model.
@@ -78,7 +78,7 @@
 	mb  int64
 }
 
-func newSimulation(t failer, fencing ...bool) *simulation {
+func newSimulation(t testingT, fencing ...bool) *simulation {
 	sim := &simulation{t: t, now: time.Unix(1_700_000_000, 0)}
 	for i, f := range fencing {
 		sim.endpoints = append(sim.endpoints, &endpoint{
@@ -181,9 +181,9 @@
 	sim.commit(record.Record{Claim: &record.PoolClaim{Pool: testPool, PrevEpoch: epoch, Owner: h.ref}})
 }
 
-// kill ends a host and starts its next incarnation. Orders that no endpoint has read are
-// lost with its connections. Endpoints that check tokens may still read them.
-func (sim *simulation) kill(i int, recordedAsGone bool) {
+// kill ends a host and starts its next incarnation. Its orders in transit are lost with its
+// connections, but endpoints that check fencing tokens may still receive them.
+func (sim *simulation) kill(i int, closeSession bool) {
 	h := sim.hosts[i]
 	sim.orders = slices.DeleteFunc(sim.orders, func(o *orderMsg) bool {
 		return o.from == h && !sim.endpoint(o.Endpoint).fencing
@@ -191,7 +191,7 @@
 	for _, o := range sim.orders {
 		o.abandoned = o.abandoned || o.from == h
 	}
-	if recordedAsGone {
+	if closeSession {
 		sim.commit(record.Record{Gone: &record.SessionClose{HostRef: h.ref}})
 	}
 	sim.startHost(i)
@@ -206,7 +206,7 @@
 func (sim *simulation) restart(e *endpoint) {
 	sim.stale = sim.observation()
 	e.incarnation = record.Incarnation(sim.nextID("i"))
-	e.token = 0
+	e.highestFence = 0
 	clear(e.loaded)
 }
 
@@ -286,7 +286,7 @@
 }
 
 // abandon ends the connection of an order before its response. An endpoint that checks
-// tokens may still read the order later.
+// fencing tokens may still receive the order later.
 func (sim *simulation) abandon(o *orderMsg) {
 	o.abandoned = true
 	o.from.ctrl.OrderDone(sim.now, o.Order, pool.OrderUnknown)
@@ -300,10 +300,10 @@
 	if e.incarnation != o.Incarnation {
 		return pool.OrderRejected
 	}
-	if e.fencing && o.Fence < e.token {
+	if e.fencing && o.Fence < e.highestFence {
 		return pool.OrderRejected
 	}
-	e.token = max(e.token, o.Fence)
+	e.highestFence = max(e.highestFence, o.Fence)
 	switch o.Kind {
 	case pool.OrderUnload:
 		delete(e.loaded, o.Replica)
--- a/pkg/serve/dispatcher.go
+++ b/pkg/serve/dispatcher.go
@@ -19,7 +19,8 @@
 	// unmetDemandTTL is how long a refused request counts as demand. It covers the longest
 	// Retry-After sent to clients.
 	unmetDemandTTL = maxRetryAfter
-	// holdRecheckInterval is how often a waiting request reevaluates whether to keep waiting.
+	// holdRecheckInterval is the interval at which Hold is evaluated again for a waiting
+	// request.
 	holdRecheckInterval = 500 * time.Millisecond
 	// serviceTimeWeight is the weight of one request in the moving average of the service
 	// time.
--- a/pkg/serve/serve_test.go
+++ b/pkg/serve/serve_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { proptest.Main(m, 300, 40) }
 
-// A request that may run at most once must not be sent again after its response was lost, and its
+// A non-retryable request must not be sent again after its response was lost, and its
 // client must not be told that it has not run.
 func TestNonRetryableRequestIsNeverResent(t *testing.T) {
 	for _, s := range []script{{lost: true}, {hang: true}, {status: 500}} {
@@ -267,7 +267,7 @@
 	})
 }
 
-// Checks invariants for arbitrary endpoint behavior: a request that may run once runs at most
+// Checks invariants for arbitrary endpoint behavior: a non-retryable request runs at most
 // once, no request runs more often than its route allows, a refusal that promises that the
 // request has not run is true, and each client gets exactly one response.
 func TestRunLimitsAndRefusals(t *testing.T) {
@@ -302,7 +302,7 @@
 			newServer(b).Serve(context.Background(), req, &out)
 			runs := len(b.runs["r"])
 			if !req.Route.Retryable() && runs > 1 {
-				rt.Fatalf("request that may run at most once ran %d times", runs)
+				rt.Fatalf("non-retryable request ran %d times", runs)
 			}
 			if runs > attempts {
 				rt.Fatalf("request ran %d times, its route allows %d", runs, attempts)
--- a/pkg/serve/server.go
+++ b/pkg/serve/server.go
@@ -62,7 +62,8 @@
 	Note string
 }
 
-// retryBudgetInterval is how often a request checks the retry budget while it waits for it.
+// retryBudgetInterval is the interval at which the retry budget is checked for a request that
+// waits for a retry.
 const retryBudgetInterval = 100 * time.Millisecond
 
 // Server serves requests. It is safe for concurrent use.
