--- a/pkg/idempotency/claims.go
+++ b/pkg/idempotency/claims.go
@@ -226,7 +226,7 @@
 		case <-c.wake:
 		}
 		for batch := c.nextBatch(); len(batch) > 0; batch = c.nextBatch() {
-			if !c.appendBatch(ctx, batch) {
+			if !c.append(ctx, batch) {
 				return
 			}
 			select {
@@ -256,9 +256,9 @@
 	return batch
 }
 
-// appendBatch appends one batch and reports whether it was committed. It retries with the same
+// append appends one batch and reports whether it was committed. It retries with the same
 // record until it succeeds or ctx is done.
-func (c *Claims) appendBatch(ctx context.Context, batch []*operation) bool {
+func (c *Claims) append(ctx context.Context, batch []*operation) bool {
 	keyBatch := record.KeyBatch{Holder: c.self}
 	for _, op := range batch {
 		switch {
