--- a/pkg/fleet/account.go
+++ b/pkg/fleet/account.go
@@ -74,10 +74,10 @@
 		if account.Name == "" {
 			report("has no name")
 		}
-		if _, twice := a.byName[account.Name]; twice {
+		if _, duplicate := a.byName[account.Name]; duplicate {
 			report("stands there twice")
 		}
-		if !valid(account.Allowance) {
+		if !validAllowance(account.Allowance) {
 			report("has an allowance that is negative or not finite")
 		}
 		for n, key := range account.Keys {
@@ -95,8 +95,8 @@
 	return a, errors.Wrap(found.Err(), "accounts")
 }
 
-// valid reports whether the values of an allowance are finite and not negative.
-func valid(a Allowance) bool {
+// validAllowance reports whether the values of an allowance are finite and not negative.
+func validAllowance(a Allowance) bool {
 	for _, v := range []float64{a.Rate, a.Burst, a.DefaultCost} {
 		if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 			return false
--- a/pkg/fleet/account_usage.go
+++ b/pkg/fleet/account_usage.go
@@ -4,7 +4,7 @@
 // of the account's allowance.
 type AccountUsage struct {
 	Account string `cbor:"1,keyasint"`
-	// RequestedRate is the average rate per second requested over the last seconds, and
+	// RequestedRate is the requested rate per second, averaged over the last few seconds.
 	// AdmittedRate is the part of it that was admitted.
 	RequestedRate float64 `cbor:"2,keyasint,omitempty"`
 	AdmittedRate  float64 `cbor:"4,keyasint,omitempty"`
--- a/pkg/fleet/config.go
+++ b/pkg/fleet/config.go
@@ -142,8 +142,7 @@
 }
 
 // HasModel reports whether the configuration contains a model of a service and, if adapter is
-// set, whether the model has adapters. For a plain service
-// or an empty model it returns true.
+// set, whether the model has adapters. It returns true for a plain service or an empty model.
 func (c *Config) HasModel(service, model, adapter string) bool {
 	engine := c.Services[service].Engine
 	if engine == nil || model == "" {
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -7,7 +7,7 @@
 )
 
 // expiryGrace is how long after a store outage expired entries may be written again; the
-// platform promises this bound.
+// platform guarantees this bound.
 const expiryGrace = 2 * time.Second
 
 // tombstoneTTL is how long a removed endpoint is remembered, so that a delayed copy of its
@@ -50,7 +50,7 @@
 	routingOffset int64
 	// changed is when this host received the entry.
 	changed time.Time
-	// missing is the time at which the entry disappeared after a store outage; zero if it is present.
+	// missing is when the entry disappeared after a store outage; zero if it is present.
 	missing time.Time
 	gone    bool
 	// goneAt is when Prune first found the endpoint gone.
@@ -80,7 +80,7 @@
 }
 
 // MarkStoreAvailable records that another host has just read the list and sent its changes.
-// The store is then available, even if it does not respond to this host, so that missing
+// The store is therefore available even if it does not respond to this host, and missing
 // entries expire on time.
 func (d *Directory) MarkStoreAvailable() {
 	d.mu.Lock()
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -59,7 +59,7 @@
 	is.Equal(ids(d.Live(at(12.1))), []fleet.EndpointID{"a"}) // b was not written again
 }
 
-// Guards against a delayed heartbeat that makes a draining endpoint routable again.
+// Guards against a delayed heartbeat routing requests to a draining endpoint again.
 func TestDrainingEndpointStaysDraining(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
@@ -71,7 +71,7 @@
 	is.True(d.Live(at(1))[0].Draining)
 }
 
-// Guards against a stale listing from a peer that removes newer endpoints.
+// Guards against a stale listing from a peer removing newer endpoints.
 func TestStaleListingRemovesNothing(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
@@ -126,7 +126,7 @@
 	// A previous controller may send notices for a short time after it has lost its claim.
 	is.True(!l.ApplyNotice(at(0.6), notice(1)))
 	is.Equal(ready(at(0.6), "told", ""), 1)
-	// The notices of a silent controller expire.
+	// Notices expire if the controller sends no more heartbeats.
 	is.Equal(ready(at(9), "told", ""), 0)
 	is.Equal(ready(at(9), "listed", ""), 1)
 }
@@ -169,7 +169,7 @@
 	is.Equal(live[0].ID, fleet.EndpointID(fmt.Sprint("e", replaced-1)))
 }
 
-func TestConfigNamesModels(t *testing.T) {
+func TestConfigHasModel(t *testing.T) {
 	c := &fleet.Config{Services: map[string]fleet.Service{
 		"plain": {Name: "plain"},
 		"llm": {Name: "llm", Engine: &fleet.Engine{Models: map[string]fleet.Model{
@@ -194,7 +194,8 @@
 }
 
 // Other hosts receive exactly the endpoints that were added, started draining, were removed or
-// returned. Missing ones would stay unknown there or get requests while they drain.
+// returned. Without these changes, hosts would not use new endpoints or would send requests to
+// draining ones.
 func TestRoutingChangesSince(t *testing.T) {
 	is := is.New(t)
 	d := fleet.NewDirectory()
--- a/pkg/fleet/incarnation_test.go
+++ b/pkg/fleet/incarnation_test.go
@@ -59,8 +59,8 @@
 	is.Equal(ids(d.Live(at(3))), []fleet.EndpointID{})
 }
 
-// Guards against using an endpoint by an outdated entry after another writer has overwritten
-// it, and against excluding the endpoint after its next valid heartbeat.
+// Guards against routing to an endpoint by its outdated entry after another writer has
+// overwritten the entry, and against excluding it after its next valid heartbeat.
 func TestUnreadableEntryExcludesEndpointUntilNextHeartbeat(t *testing.T) {
 	invalid := map[string]fleet.Endpoint{
 		"unreadable":    {ID: "a", Unreadable: true},
--- a/pkg/fleet/locator.go
+++ b/pkg/fleet/locator.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// controllerTimeout is how long the notices of a silent controller take precedence over
-	// the endpoints' own entries. The controller's last orders complete within this time.
+	// controllerTimeout is how long after the controller's last heartbeat its notices take
+	// precedence over the endpoints' own entries. Its last orders complete within this time.
 	controllerTimeout = 3 * time.Second
 	// maxIndexAge bounds how long the index is used without a check for endpoints that have
 	// expired.
@@ -73,7 +73,7 @@
 		return false
 	}
 	if n.Token > l.controller.Token || n.Full {
-		l.dropUnnamed(n)
+		l.dropUnlisted(n)
 	}
 	l.controller = Notice{Holder: n.Holder, Token: n.Token, Incarnation: n.Incarnation, Addr: n.Addr, StoreLoadLimit: n.StoreLoadLimit}
 	l.heartbeatAt = now.Add(-time.Duration(n.HeartbeatAge) * time.Millisecond)
@@ -87,15 +87,15 @@
 	return true
 }
 
-// dropUnnamed drops the placements that a full notice does not name, and all placements if the
+// dropUnlisted drops the placements that a full notice does not list, and all placements if the
 // notice belongs to a newer claim.
-func (l *Locator) dropUnnamed(n Notice) {
-	named := make(map[EndpointID]bool, len(n.Endpoints))
+func (l *Locator) dropUnlisted(n Notice) {
+	listed := make(map[EndpointID]bool, len(n.Endpoints))
 	for _, p := range n.Endpoints {
-		named[p.Endpoint] = n.Token == l.controller.Token
+		listed[p.Endpoint] = n.Token == l.controller.Token
 	}
 	for id := range l.placements {
-		if !named[id] {
+		if !listed[id] {
 			delete(l.placements, id)
 			l.markChanged(id)
 		}
@@ -143,9 +143,9 @@
 func (l *Locator) setCold(now time.Time, models []ColdModel) {
 	cold := make(map[ModelRef]time.Time, len(models))
 	same := len(models) == len(l.coldReadyAt)
-	for _, f := range models {
-		ref := ModelRef{f.Service, f.Model}
-		cold[ref] = now.Add(time.Duration(f.ReadyIn) * time.Millisecond)
+	for _, m := range models {
+		ref := ModelRef{m.Service, m.Model}
+		cold[ref] = now.Add(time.Duration(m.ReadyIn) * time.Millisecond)
 		old, known := l.coldReadyAt[ref]
 		same = same && known && cold[ref].Sub(old).Abs() <= timeTolerance
 	}
--- a/pkg/fleet/locator_changes.go
+++ b/pkg/fleet/locator_changes.go
@@ -42,7 +42,7 @@
 func (l *Locator) removedSince(since int64) []Placement {
 	var out []Placement
 	for id, v := range l.versions {
-		if _, named := l.placements[id]; v > since && !named {
+		if _, listed := l.placements[id]; v > since && !listed {
 			out = append(out, Placement{Endpoint: id})
 		}
 	}
--- a/pkg/fleet/locator_test.go
+++ b/pkg/fleet/locator_test.go
@@ -10,25 +10,25 @@
 	"pgregory.net/rapid"
 )
 
-// controllerTimeout is how long the notices of a silent controller are used.
+// controllerTimeout is how long notices are used after the last one.
 const controllerTimeout = 3 * time.Second
 
 // reference is a locator without an index; it evaluates all entries and notices on each call.
 type reference struct {
-	directory  *fleet.Directory
-	token      int64
-	heardAt    time.Time
-	placements map[fleet.EndpointID]fleet.Placement
+	directory    *fleet.Directory
+	token        int64
+	lastNoticeAt time.Time
+	placements   map[fleet.EndpointID]fleet.Placement
 }
 
-func (r *reference) notice(now time.Time, n fleet.Notice) {
+func (r *reference) applyNotice(now time.Time, n fleet.Notice) {
 	if n.Token < r.token {
 		return
 	}
 	if n.Token > r.token || n.Full {
 		r.placements = map[fleet.EndpointID]fleet.Placement{}
 	}
-	r.token, r.heardAt = n.Token, now
+	r.token, r.lastNoticeAt = n.Token, now
 	for _, p := range n.Endpoints {
 		r.placements[p.Endpoint] = p
 	}
@@ -44,7 +44,7 @@
 		}
 		holdsModel := model == ""
 		p, known := r.placements[v.ID]
-		if known && now.Sub(r.heardAt) < controllerTimeout {
+		if known && now.Sub(r.lastNoticeAt) < controllerTimeout {
 			holdsModel = holdsModel || slices.ContainsFunc(p.Models, func(m fleet.ModelPlacement) bool { return m.Model == model && !m.Unloading })
 		} else {
 			holdsModel = holdsModel || slices.ContainsFunc(v.Loaded, func(h fleet.LoadedModel) bool { return h.Model == model })
@@ -57,8 +57,8 @@
 	return out
 }
 
-// Guards against a stale index, which sends requests to a draining endpoint or misses one that
-// holds the model. After any sequence of events the locator must agree with the reference.
+// Guards against a stale index that returns a draining endpoint or omits one that holds the
+// model. After any sequence of events the locator must agree with the reference.
 func TestIncrementalIndexMatchesReference(t *testing.T) {
 	models := []string{"m0", "m1", "m2"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -95,7 +95,7 @@
 					})
 				}
 				l.ApplyNotice(now, n)
-				r.notice(now, n)
+				r.applyNotice(now, n)
 			},
 			"store": func(t *rapid.T) { d.SetStoreAvailable(now, rapid.Bool().Draw(t, "answers")) },
 			"prune": func(t *rapid.T) { d.Prune(now) },
--- a/pkg/fleet/messages.go
+++ b/pkg/fleet/messages.go
@@ -71,9 +71,9 @@
 	// the host entries.
 	ListNext  int64 `cbor:"5,keyasint,omitempty"`
 	HostsNext int64 `cbor:"8,keyasint,omitempty"`
-	// Heartbeat is the last one of the controller that the requesting host has received.
-	// DownstreamHeartbeats holds the same for
-	// the hosts that pull from it, where endpoints do not check fencing tokens.
+	// Heartbeat is the last controller heartbeat that the requesting host has received.
+	// DownstreamHeartbeats holds those of the hosts that pull from it; it is set only if
+	// endpoints do not check fencing tokens.
 	Heartbeat            ControllerHeartbeat   `cbor:"6,keyasint"`
 	DownstreamHeartbeats []ControllerHeartbeat `cbor:"7,keyasint,omitempty"`
 	// Crashes lists the crashes, seen by the requesting host and by the hosts that pull from
@@ -84,9 +84,9 @@
 	BlocksChecksum uint64  `cbor:"10,keyasint,omitempty"`
 	Blocks         []Block `cbor:"11,keyasint,omitempty"`
 	// Accounts is the usage at the requesting host and at the hosts that pull from it; nil if
-	// it was reported just before. Rising is set if the usage of an account has increased
-	// sharply. ViaFallback is set if the host pulls in place of a relay, which will report the same
-	// usage again.
+	// it has just been reported. Rising is set if the usage of an account has increased
+	// sharply. ViaFallback is set if the host pulls from the controller because its relays are
+	// down; a relay will report the same usage again.
 	Accounts    []AccountUsage `cbor:"12,keyasint,omitempty"`
 	Rising      bool           `cbor:"13,keyasint,omitempty"`
 	ViaFallback bool           `cbor:"14,keyasint,omitempty"`
--- a/pkg/fleet/quarantine.go
+++ b/pkg/fleet/quarantine.go
@@ -58,8 +58,8 @@
 	return now.Add(-time.Duration(c.Ago) * time.Millisecond)
 }
 
-// Block excludes a request from all endpoints because it crashes them. A block with Suspect
-// set only restricts the request to a trial.
+// Block excludes a request from all endpoints because it crashes them, or restricts it to a
+// trial if Suspect is set.
 type Block struct {
 	Request BlockedRequest `cbor:"1,keyasint"`
 	// Since is the time of detection in Unix seconds.
@@ -72,10 +72,11 @@
 // Trial is the progress of a suspect request's trial. Hosts resolve conflicting states by
 // round, stage and host, so that they converge in any order of delivery.
 type Trial struct {
-	// Round numbers the copies that are run one after the other.
+	// Round numbers the copies, which run one after the other.
 	Round int64      `cbor:"1,keyasint"`
 	Stage TrialStage `cbor:"2,keyasint"`
-	// Host is the incarnation of the host that requests or holds the turn of this round.
+	// Host is the incarnation of the host that requests or has permission to run the copy of
+	// this round.
 	Host string `cbor:"3,keyasint,omitempty"`
 	// LastCrashAgo is the time in milliseconds since an endpoint last crashed while it ran the
 	// request.
@@ -89,7 +90,7 @@
 const (
 	// TrialWaiting means that no copy may run.
 	TrialWaiting TrialStage = iota
-	// TrialRequested means that a host has a waiting copy and requests the turn.
+	// TrialRequested means that a host has a waiting copy and requests permission to run it.
 	TrialRequested
 	// TrialGranted means that one copy may run, at one host.
 	TrialGranted
