--- a/pkg/contract/contract.go
+++ b/pkg/contract/contract.go
@@ -22,7 +22,7 @@
 	Base Kind = "base"
 	// Adapter is loaded on top of a replica of its base model.
 	Adapter Kind = "adapter"
-	// Service is an always running service whose replicas are never loaded.
+	// Service is a service that always runs; entry hosts do not load or unload it.
 	Service Kind = "service"
 )
 
@@ -198,7 +198,7 @@
 	}
 }
 
-// namePattern allows characters that need no quoting in file names and URLs.
+// A name has 1 to 128 characters and starts with a letter or a digit.
 var (
 	namePattern   = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._:/-]{0,127}$`)
 	digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
--- a/pkg/journal/journal.go
+++ b/pkg/journal/journal.go
@@ -1,4 +1,4 @@
-// Package journal keeps the replicated state in step with the platform's log. It
+// Package journal keeps the replicated state up to date with the platform's log. It
 // appends records, reads new records from the log or, if the log is unavailable,
 // from other hosts, and restores the state from snapshots.
 package journal
@@ -99,8 +99,8 @@
 //
 // If the response to an append is lost, Append retries with the same record ID
 // until it reads the record back from the log. The preconditions of the record
-// make a second copy harmless. The error wraps ErrNotAppended, or ErrOutcomeUnknown if
-// ctx ends first or the state is replaced by a snapshot.
+// ensure that a second copy has no effect. The error wraps ErrNotAppended, or
+// ErrOutcomeUnknown if ctx ends first or the state is replaced by a snapshot.
 func (j *Journal) Append(ctx context.Context, r record.Record) (state.Outcome, error) {
 	if r.ID == "" {
 		r.ID = record.NewID()
--- a/pkg/journal/snapshot.go
+++ b/pkg/journal/snapshot.go
@@ -47,7 +47,7 @@
 	j.applyMu.Lock()
 	defer j.applyMu.Unlock()
 	if restored.Applied()+1 < first && from == external.LogReader(j.log) {
-		return errors.Wrapf(ErrNoSnapshot, "newest is at offset %d, the log starts at %d", restored.Applied(), first)
+		return errors.Wrapf(ErrNoSnapshot, "newest snapshot is at offset %d, the log starts at %d", restored.Applied(), first)
 	}
 	if err := j.state.Replace(restored); err != nil {
 		return err
--- a/pkg/record/record.go
+++ b/pkg/record/record.go
@@ -103,7 +103,7 @@
 	To    HostRef `cbor:"3,keyasint"`
 }
 
-// Quiesced states that a previous owner has no commands in flight for epochs
+// Quiesced states that a former owner has no orders in flight for epochs
 // before Epoch and will send none.
 type Quiesced struct {
 	Pool  string  `cbor:"1,keyasint"`
@@ -149,7 +149,7 @@
 	Incarnation Incarnation `cbor:"2,keyasint"`
 }
 
-// Place reserves memory for a replica. It must precede the load command.
+// Place reserves memory for a replica. It must be appended before the load order is sent.
 type Place struct {
 	Replica  ReplicaID `cbor:"1,keyasint"`
 	Customer string    `cbor:"2,keyasint"`
--- a/pkg/state/plan.go
+++ b/pkg/state/plan.go
@@ -7,7 +7,7 @@
 )
 
 // applyPlan applies the decisions of a pool's owner. It rejects the whole plan
-// if the epoch is that of a previous owner or if the sequence number has
+// if the epoch is that of a former owner or if the sequence number has
 // already been used. It returns the result of each decision.
 func (ps *Pools) applyPlan(off record.Offset, plan record.Plan, contracts *Contracts) ([]error, error) {
 	p := ps.find(plan.Pool)
@@ -48,9 +48,9 @@
 }
 
 // registerEndpoint adds an endpoint or replaces its entry. A new incarnation
-// has normally lost its loaded models, but the observation may also be an old
-// one. All replicas are therefore retired and keep their memory reserved until
-// the observed incarnation confirms the unload.
+// has normally lost its loaded models, but the observation may be outdated. All
+// replicas are therefore retired, and their memory stays reserved until the
+// observed incarnation confirms the unload.
 func (p *lockedPool) registerEndpoint(off record.Offset, observed record.EndpointRegistered) {
 	known, ok := p.Endpoints[observed.Endpoint]
 	if ok && known.Incarnation != observed.Incarnation {
@@ -132,7 +132,7 @@
 func (p *lockedPool) setPhase(off record.Offset, id record.ReplicaID, from, to Phase) error {
 	r, ok := p.Replicas[id]
 	if !ok || r.Phase != from {
-		return errors.Wrapf(ErrStale, "replica %s", id)
+		return errors.Wrapf(ErrStale, "replica %s is unknown or in another phase", id)
 	}
 	r.Phase = to
 	r.Changed = off
@@ -143,7 +143,7 @@
 func (p *lockedPool) retireReplica(off record.Offset, id record.ReplicaID) error {
 	r, ok := p.Replicas[id]
 	if !ok || r.Phase == Retired {
-		return errors.Wrapf(ErrStale, "replica %s", id)
+		return errors.Wrapf(ErrStale, "replica %s is unknown or already retired", id)
 	}
 	return p.setPhase(off, id, r.Phase, Retired)
 }
@@ -151,10 +151,10 @@
 func (p *lockedPool) freeReplica(id record.ReplicaID) error {
 	r, ok := p.Replicas[id]
 	if !ok || r.Phase != Retired {
-		return errors.Wrapf(ErrStale, "replica %s", id)
+		return errors.Wrapf(ErrStale, "replica %s is unknown or not retired", id)
 	}
 	if !p.MayFree(r) {
-		return errors.Wrapf(ErrStale, "a previous owner may still load replica %s", id)
+		return errors.Wrapf(ErrStale, "a former owner may still load replica %s", id)
 	}
 	delete(p.Replicas, id)
 	return nil
--- a/pkg/state/pools.go
+++ b/pkg/state/pools.go
@@ -49,7 +49,7 @@
 	Lost bool
 }
 
-// FormerOwner is a previous owner that may still have commands in flight.
+// FormerOwner is a previous owner that may still have orders in flight.
 type FormerOwner struct {
 	Epoch record.Offset
 	Owner record.HostRef
@@ -91,12 +91,12 @@
 }
 
 // MayFree reports whether the memory of a retired replica may be released once
-// the endpoint has accepted the current owner's unload command.
+// the endpoint has accepted the current owner's unload order.
 //
-// A previous owner may still send a delayed load command for the replica. That
+// A delayed load order of a former owner may still arrive for the replica. That
 // is safe if the endpoint is listed and checks fencing tokens, because the unload
-// command has raised the token. Otherwise no previous owner since the epoch of
-// the replica may have commands in flight.
+// order has raised the token. Otherwise no former owner since the epoch of the
+// replica may have orders in flight.
 func (p *Pool) MayFree(r Replica) bool {
 	e := p.Endpoints[r.Endpoint]
 	if e.ChecksFencing && !e.Lost {
@@ -221,8 +221,8 @@
 	return false
 }
 
-// claim starts a new epoch of a pool. Of several claims on the same epoch the
-// first in the log wins, and a delayed copy is rejected.
+// claim starts a new epoch of a pool. Only the first of several claims on the
+// same epoch is accepted, and a delayed copy is rejected.
 func (ps *Pools) claim(off record.Offset, c record.PoolClaim) error {
 	p := ps.find(c.Pool)
 	if p == nil {
@@ -240,7 +240,7 @@
 	return nil
 }
 
-// handover transfers a pool to another host. The owner has no commands in
+// handover transfers a pool to another host. The owner has no orders in
 // flight when it appends the record, so it is not added to Former.
 func (ps *Pools) handover(off record.Offset, h record.Handover) error {
 	p := ps.find(h.Pool)
--- a/pkg/state/snapshot.go
+++ b/pkg/state/snapshot.go
@@ -132,7 +132,7 @@
 
 func joinChunks(chunks []record.Snapshot) ([]byte, error) {
 	if len(chunks) == 0 || len(chunks) != chunks[0].Count {
-		return nil, errors.Wrapf(ErrSnapshot, "got %d chunks", len(chunks))
+		return nil, errors.Wrapf(ErrSnapshot, "got %d chunks, expected all chunks of one snapshot", len(chunks))
 	}
 	var data bytes.Buffer
 	for i, c := range chunks {
