--- a/pkg/external/httpadapter/adapter_test.go
+++ b/pkg/external/httpadapter/adapter_test.go
@@ -198,7 +198,7 @@
 	is.True(errors.Is(err, external.ErrInvalid))
 }
 
-// Checks that Retry-After of a 429 response becomes a pause, and that values other
+// Checks that Retry-After of a 429 response is returned, and that values other
 // than a positive number of seconds are ignored.
 func TestRetryAfterOfRejectedCall(t *testing.T) {
 	is := is.New(t)
--- a/pkg/external/httpadapter/client.go
+++ b/pkg/external/httpadapter/client.go
@@ -24,8 +24,8 @@
 const (
 	maxResponseBytes = 16 << 20
 	maxErrorBytes    = 4 << 10
-	// maxPause limits the pause that an endpoint can ask for.
-	maxPause = 24 * time.Hour
+	// maxRetryAfter caps the value of Retry-After.
+	maxRetryAfter = 24 * time.Hour
 )
 
 // client is the HTTP client that the adapters share.
@@ -112,7 +112,7 @@
 	status := &statusError{resp.StatusCode, bytes.TrimSpace(body)}
 	if resp.StatusCode >= 400 && resp.StatusCode < 500 {
 		rejected := errors.Mark(status, external.ErrRejected)
-		if p := requestedPause(resp); p > 0 {
+		if p := parseRetryAfter(resp); p > 0 {
 			return &external.RetryAfterError{RetryAfter: p, Cause: rejected}
 		}
 		return rejected
@@ -120,14 +120,14 @@
 	return errors.Mark(status, external.ErrUnavailable)
 }
 
-// requestedPause returns the Retry-After of a 429 response, or 0. The date form of
+// parseRetryAfter returns the Retry-After of a 429 response, or 0. The date form of
 // the header is ignored because clocks may differ.
-func requestedPause(resp *http.Response) time.Duration {
+func parseRetryAfter(resp *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil || seconds < 0 || resp.StatusCode != http.StatusTooManyRequests {
 		return 0
 	}
-	return min(time.Duration(min(seconds, math.MaxInt32))*time.Second, maxPause)
+	return min(time.Duration(min(seconds, math.MaxInt32))*time.Second, maxRetryAfter)
 }
 
 func asStatusError(err error) (*statusError, bool) {
