--- a/pkg/entryhost/contract_test.go
+++ b/pkg/entryhost/contract_test.go
@@ -70,67 +70,67 @@
 }
 
 func newContractCluster(n int) *contractCluster {
-	w := &contractCluster{fakeCluster: newFakeCluster(), watcher: &contractWatcher{stop: make(chan struct{})}}
-	w.snapshotEvery = 100
+	c := &contractCluster{fakeCluster: newFakeCluster(), watcher: &contractWatcher{stop: make(chan struct{})}}
+	c.snapshotEvery = 100
 	for i := range n {
-		w.start(fmt.Sprintf("h%d", i))
+		c.start(fmt.Sprintf("h%d", i))
 	}
-	w.publish(0, revision(0))
+	c.publish(0, revision(0))
 	time.Sleep(settleTime)
-	return w
+	return c
 }
 
-func (w *contractCluster) start(name string) *fakeHost {
-	h := w.startHost(name)
-	w.hosts = append(w.hosts, h)
-	w.watcher.watch(h, w.document)
+func (c *contractCluster) start(name string) *fakeHost {
+	h := c.startHost(name)
+	c.hosts = append(c.hosts, h)
+	c.watcher.watch(h, c.document)
 	return h
 }
 
-func (w *contractCluster) finish() []string {
-	close(w.watcher.stop)
-	w.watcher.running.Wait()
-	w.stopAll()
-	return w.watcher.problems
+func (c *contractCluster) finish() []string {
+	close(c.watcher.stop)
+	c.watcher.running.Wait()
+	c.stopAll()
+	return c.watcher.problems
 }
 
 // outdatedHosts lists the live hosts that do not have the latest version in force.
-func (w *contractCluster) outdatedHosts() (found []string) {
-	for _, h := range w.hosts {
+func (c *contractCluster) outdatedHosts() (found []string) {
+	for _, h := range c.hosts {
 		e, _ := h.state.Contracts.Get("c")
-		if !h.dead.Load() && e.Version != w.latestVersion() {
-			found = append(found, fmt.Sprintf("%s is at version %d of %d", h.settings.Host, e.Version, w.latestVersion()))
+		if !h.dead.Load() && e.Version != c.latestVersion() {
+			found = append(found, fmt.Sprintf("%s is at version %d of %d", h.settings.Host, e.Version, c.latestVersion()))
 		}
 	}
 	return found
 }
 
-func (w *contractCluster) apply(kind string, arg int) {
-	h := w.hosts[arg%len(w.hosts)]
+func (c *contractCluster) apply(kind string, arg int) {
+	h := c.hosts[arg%len(c.hosts)]
 	switch kind {
 	case "publish", "race":
-		base := w.latestVersion()
-		w.revision++
-		w.publish(base, revision(w.revision))
+		base := c.latestVersion()
+		c.revision++
+		c.publish(base, revision(c.revision))
 		if kind == "race" {
-			w.revision++
-			w.publish(base, revision(w.revision))
+			c.revision++
+			c.publish(base, revision(c.revision))
 		}
 	case "repeat an old publication":
-		w.replayPublication(arg)
+		c.replayPublication(arg)
 	case "kill host":
 		h.kill()
-		w.start(h.settings.Host)
+		c.start(h.settings.Host)
 	case "cut from log":
-		w.setPartitioned(h.settings.Host, true)
+		c.setPartitioned(h.settings.Host, true)
 	case "join to log":
-		w.setPartitioned(h.settings.Host, false)
+		c.setPartitioned(h.settings.Host, false)
 	case "log down":
-		w.setLogDown(true)
+		c.setLogDown(true)
 	case "log up":
-		w.setLogDown(false)
+		c.setLogDown(false)
 	case "trim":
-		w.trimToSnapshot()
+		c.trimToSnapshot()
 	}
 }
 
@@ -146,18 +146,18 @@
 		args := rapid.SliceOfN(rapid.IntRange(0, 9), len(acts), len(acts)).Draw(rt, "args")
 		pauses := rapid.SliceOfN(rapid.IntRange(0, 6000), len(acts), len(acts)).Draw(rt, "pauses")
 		found := inVirtualTime(t, func() []string {
-			w := newContractCluster(3)
+			c := newContractCluster(3)
 			for i, kind := range acts {
-				w.apply(kind, args[i])
+				c.apply(kind, args[i])
 				time.Sleep(time.Duration(pauses[i]) * time.Millisecond)
 			}
-			for _, h := range w.hosts {
-				w.setPartitioned(h.settings.Host, false)
+			for _, h := range c.hosts {
+				c.setPartitioned(h.settings.Host, false)
 			}
-			w.setLogDown(false)
+			c.setLogDown(false)
 			time.Sleep(propagationLimit + settleTime)
-			behind := w.outdatedHosts()
-			return append(w.finish(), behind...)
+			behind := c.outdatedHosts()
+			return append(c.finish(), behind...)
 		})
 		if len(found) > 0 {
 			rt.Fatalf("%s", strings.Join(found, "\n"))
@@ -169,13 +169,13 @@
 // receives the tail of the log from its peers.
 func TestContractReachesHostPartitionedFromLog(t *testing.T) {
 	found := inVirtualTime(t, func() []string {
-		w := newContractCluster(3)
-		w.apply("cut from log", 1)
+		c := newContractCluster(3)
+		c.apply("cut from log", 1)
 		time.Sleep(settleTime)
-		w.apply("publish", 0)
+		c.apply("publish", 0)
 		time.Sleep(propagationLimit)
-		behind := w.outdatedHosts()
-		return append(w.finish(), behind...)
+		behind := c.outdatedHosts()
+		return append(c.finish(), behind...)
 	})
 	is.New(t).Equal(found, nil)
 }
@@ -185,16 +185,16 @@
 func TestNewHostDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
-		w := newContractCluster(2)
-		w.apply("publish", 0)
+		c := newContractCluster(2)
+		c.apply("publish", 0)
 		time.Sleep(time.Second)
-		w.apply("log down", 0)
-		h := w.start("fresh")
+		c.apply("log down", 0)
+		h := c.start("fresh")
 		is.True(!h.Ready())
 		time.Sleep(propagationLimit)
 		is.True(h.Ready())
-		is.Equal(len(w.outdatedHosts()), 0)
-		is.Equal(len(w.finish()), 0)
+		is.Equal(len(c.outdatedHosts()), 0)
+		is.Equal(len(c.finish()), 0)
 	})
 }
 
@@ -203,16 +203,16 @@
 func TestRestoreAfterTrim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.NewRelaxed(t)
-		w := newContractCluster(2)
+		c := newContractCluster(2)
 		time.Sleep(2 * time.Minute)
-		is.True(w.trimToSnapshot())
-		for _, h := range w.hosts {
+		is.True(c.trimToSnapshot())
+		for _, h := range c.hosts {
 			h.kill()
 		}
-		h := w.start("fresh")
+		h := c.start("fresh")
 		time.Sleep(propagationLimit)
 		is.True(h.Ready())
-		is.Equal(len(w.outdatedHosts()), 0)
-		is.Equal(len(w.finish()), 0)
+		is.Equal(len(c.outdatedHosts()), 0)
+		is.Equal(len(c.finish()), 0)
 	})
 }
--- a/pkg/entryhost/fake_cluster_test.go
+++ b/pkg/entryhost/fake_cluster_test.go
@@ -24,16 +24,18 @@
 
 // fakeCluster fakes the log, the host list and the endpoints for hosts in virtual time.
 type fakeCluster struct {
-	mu                sync.Mutex
-	records           []external.Entry
-	firstOffset       record.Offset
-	logDown           bool
-	loseAppendAnswers int
-	lateAppends       int
-	engines           map[string]*fakeEngine
-	hostList          []external.ListedHost
-	hosts             map[string]*fakeHost
-	partitioned       map[string]bool
+	mu          sync.Mutex
+	records     []external.Entry
+	firstOffset record.Offset
+	logDown     bool
+	// loseAppendResponses is the number of appends whose response is lost, and lateAppends the number
+	// of appends that fail but take effect later.
+	loseAppendResponses int
+	lateAppends         int
+	engines             map[string]*fakeEngine
+	hostList            []external.ListedHost
+	hosts               map[string]*fakeHost
+	partitioned         map[string]bool
 	// staleLists holds outdated host lists by host.
 	staleLists map[string][]external.ListedHost
 	running    sync.WaitGroup
@@ -154,8 +156,8 @@
 		return 0, external.ErrUnavailable
 	}
 	off := f.appendLocked(data)
-	if f.loseAppendAnswers > 0 {
-		f.loseAppendAnswers--
+	if f.loseAppendResponses > 0 {
+		f.loseAppendResponses--
 		return 0, external.ErrUnavailable
 	}
 	return off, nil
@@ -261,10 +263,10 @@
 	f.appendRecord(copies[n%len(copies)])
 }
 
-func (f *fakeCluster) setPartitioned(host string, cut bool) {
+func (f *fakeCluster) setPartitioned(host string, partitioned bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.partitioned[host] = cut
+	f.partitioned[host] = partitioned
 }
 
 func (f *fakeCluster) setLogDown(down bool) {
--- a/pkg/entryhost/fake_engine_test.go
+++ b/pkg/entryhost/fake_engine_test.go
@@ -20,15 +20,15 @@
 	memoryMB    int64
 	loadTime    time.Duration
 	incarnation record.Incarnation
-	token       record.Offset
+	fenceToken  record.Offset
 	replicas    map[record.ReplicaID]*fakeReplica
 	ran         []string
 	dead        bool
-	// cutAfter interrupts each stream after that many tokens, crossAnswers fails each stream, and
-	// loseAnswers drops the answers to that many requests.
-	cutAfter     int
-	crossAnswers bool
-	loseAnswers  int
+	// truncateAfter interrupts each stream after that many tokens, mislabelTokens fails each stream,
+	// and loseResponses drops the responses to that many requests.
+	truncateAfter  int
+	mislabelTokens bool
+	loseResponses  int
 	// crashOn is the body or prompt that crashes the engine.
 	crashOn string
 	crashes int
@@ -46,7 +46,7 @@
 
 func (e *fakeEngine) restart() {
 	e.incarnation = record.Incarnation(uuid.NewString())
-	e.token = 0
+	e.fenceToken = 0
 	e.replicas = map[record.ReplicaID]*fakeReplica{}
 }
 
@@ -120,12 +120,12 @@
 	if err != nil {
 		return pool.OrderRejected, err
 	}
-	refused := e.incarnation != o.Incarnation || e.fencing && o.Fence < e.token
+	refused := e.incarnation != o.Incarnation || e.fencing && o.Fence < e.fenceToken
 	if refused {
 		a.host.cluster.mu.Unlock()
 		return pool.OrderRejected, external.ErrRejected
 	}
-	e.token = max(e.token, o.Fence)
+	e.fenceToken = max(e.fenceToken, o.Fence)
 	if o.Kind == pool.OrderUnload {
 		defer a.host.cluster.mu.Unlock()
 		if r := e.replicas[o.Replica]; r != nil && r.Running > 0 {
@@ -171,31 +171,31 @@
 	e.ran = append(e.ran, r.RequestID)
 	e.maybeCrash(r.Prompt)
 	e.started = append(e.started, time.Now())
-	if e.loseAnswers > 0 {
-		e.loseAnswers--
+	if e.loseResponses > 0 {
+		e.loseResponses--
 		return nil, external.ErrUnavailable
 	}
 	replica.Running++
-	return &fakeStream{ctx: ctx, engine: e, replica: replica, request: r, next: r.ResumeFrom, cutAfter: e.cutAfter, crossAnswers: e.crossAnswers}, nil
+	return &fakeStream{ctx: ctx, engine: e, replica: replica, request: r, next: r.ResumeFrom, truncateAfter: e.truncateAfter, mislabelTokens: e.mislabelTokens}, nil
 }
 
 type fakeStream struct {
-	ctx          context.Context
-	engine       *fakeEngine
-	replica      *fakeReplica
-	request      external.GenerateRequest
-	next         int
-	sent         int
-	cutAfter     int
-	crossAnswers bool
-	closed       bool
+	ctx            context.Context
+	engine         *fakeEngine
+	replica        *fakeReplica
+	request        external.GenerateRequest
+	next           int
+	sent           int
+	truncateAfter  int
+	mislabelTokens bool
+	closed         bool
 }
 
 // fakeText returns the complete response to a prompt.
 func fakeText(prompt string) string { return strings.Repeat(prompt+" ", fakeTokens) }
 
-// Next implements external.TokenStream. Crossed answers are reported as broken, as httpadapter
-// does.
+// Next implements external.TokenStream. Mislabeled tokens are reported as a broken stream, as
+// httpadapter does.
 func (s *fakeStream) Next() (external.Token, error) {
 	select {
 	case <-time.After(fakeServiceTime / fakeTokens):
@@ -204,7 +204,7 @@
 	}
 	s.engine.cluster.mu.Lock()
 	defer s.engine.cluster.mu.Unlock()
-	if s.engine.dead || s.crossAnswers || s.cutAfter > 0 && s.sent >= s.cutAfter {
+	if s.engine.dead || s.mislabelTokens || s.truncateAfter > 0 && s.sent >= s.truncateAfter {
 		return external.Token{}, external.ErrBroken
 	}
 	t := external.Token{RequestID: s.request.RequestID, Index: s.next, Text: s.request.Prompt + " "}
@@ -241,9 +241,9 @@
 	e.ran = append(e.ran, c.RequestID)
 	run := len(e.ran)
 	e.maybeCrash(string(c.Body))
-	lose := e.loseAnswers > 0 || e.dead
+	lose := e.loseResponses > 0 || e.dead
 	if lose && !e.dead {
-		e.loseAnswers--
+		e.loseResponses--
 	}
 	a.host.cluster.mu.Unlock()
 	time.Sleep(fakeServiceTime)
--- a/pkg/entryhost/host.go
+++ b/pkg/entryhost/host.go
@@ -50,7 +50,7 @@
 	settings settings.Settings
 	self     record.HostRef
 	engine   external.Engine
-	list     external.HostList
+	hostList external.HostList
 	store    external.WeightStore
 	logger   *slog.Logger
 	provider trace.TracerProvider
@@ -119,7 +119,7 @@
 			Incarnation: record.Incarnation(uuid.Must(uuid.NewV7()).String()),
 		},
 		engine:         cfg.Engine,
-		list:           cfg.HostList,
+		hostList:       cfg.HostList,
 		store:          cfg.Store,
 		logger:         cfg.Logger.With("host", cfg.Settings.Host),
 		provider:       cfg.Tracer,
@@ -228,7 +228,8 @@
 }
 
 // Ready reports whether the load balancer should send requests to the host. A new host is not
-// ready until it has caught up with the log, so that it never serves by outdated contracts.
+// ready until it has caught up with the log, so that it never serves requests under outdated
+// contracts.
 func (h *Host) Ready() bool {
 	return h.journal.CaughtUp() && !h.stopping.Load()
 }
--- a/pkg/entryhost/http_test.go
+++ b/pkg/entryhost/http_test.go
@@ -39,21 +39,22 @@
 func withHTTPHost(t *testing.T, f func(is *is.I, h *fakeHost, spans *tracetest.InMemoryExporter)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newFakeCluster()
+		cluster := newFakeCluster()
 		spans := tracetest.NewInMemoryExporter()
-		w.tracer = sdktrace.NewTracerProvider(sdktrace.WithSyncer(spans))
-		w.addEngine("e0", "p", true)
-		w.addService("s0", "screen")
-		h := w.startHost("h0")
+		cluster.tracer = sdktrace.NewTracerProvider(sdktrace.WithSyncer(spans))
+		cluster.addEngine("e0", "p", true)
+		cluster.addService("s0", "screen")
+		h := cluster.startHost("h0")
 		sum := sha256.Sum256([]byte("t"))
-		w.publish(0, strings.Replace(testContract, strings.Repeat("0", 64), hex.EncodeToString(sum[:]), 1))
+		cluster.publish(0, strings.Replace(testContract, strings.Repeat("0", 64), hex.EncodeToString(sum[:]), 1))
 		time.Sleep(settleTime)
 		f(is.NewRelaxed(t), h, spans)
-		w.stopAll()
+		cluster.stopAll()
 	})
 }
 
-func TestTypedErrors(t *testing.T) {
+// Guards against errors with a wrong status or code, and refusals without a retry delay.
+func TestErrorStatusAndCode(t *testing.T) {
 	withHTTPHost(t, func(is *is.I, h *fakeHost, _ *tracetest.InMemoryExporter) {
 		good := `{"model":"m1","prompt":"x"}`
 		for _, c := range []struct {
--- a/pkg/entryhost/idempotency_test.go
+++ b/pkg/entryhost/idempotency_test.go
@@ -40,7 +40,7 @@
 		time.Sleep(settleTime)
 		key := uuid.Must(uuid.NewV7()).String()
 		f.mu.Lock()
-		e.loseAnswers = 1
+		e.loseResponses = 1
 		f.mu.Unlock()
 		lost := callScreen(hosts[0], "first", key)
 		is.True(lost.refusal != nil)
--- a/pkg/entryhost/invariants_test.go
+++ b/pkg/entryhost/invariants_test.go
@@ -19,11 +19,11 @@
 	})
 }
 
-// checkAnswered checks that each call got exactly one answer and that refusals are not late.
+// checkAnswered checks that each call got exactly one response and that refusals are not late.
 func checkAnswered(r result) (found []string) {
 	for _, c := range r.calls {
-		if c.answers != 1 {
-			found = append(found, fmt.Sprintf("%s got %d answers", c.id, c.answers))
+		if c.responses != 1 {
+			found = append(found, fmt.Sprintf("%s got %d responses, want 1", c.id, c.responses))
 		}
 		if c.refusal != nil && c.refusal.Code == callers.ErrorDetailCodeNotRun && c.end.After(c.deadline.Add(tolerance)) {
 			found = append(found, fmt.Sprintf("%s was refused %s after its deadline", c.id, c.end.Sub(c.deadline)))
@@ -40,7 +40,7 @@
 	for _, c := range r.calls {
 		service := c.model == "lookup" || c.model == "screen"
 		if c.refusal == nil && !service && c.text != c.expectedText() {
-			found = append(found, fmt.Sprintf("%s got incomplete or wrong answer %q", c.id, c.text))
+			found = append(found, fmt.Sprintf("%s got incomplete or wrong response %q", c.id, c.text))
 		}
 	}
 	return found
@@ -60,7 +60,7 @@
 // are identical.
 func checkAtMostOnce(r result) (found []string) {
 	runs := map[string]int{}
-	answers := map[string]string{}
+	responses := map[string]string{}
 	for _, c := range r.calls {
 		if c.key == "" {
 			continue
@@ -70,14 +70,14 @@
 		if c.refusal != nil {
 			continue
 		}
-		if first, known := answers[key]; known && first != c.text {
-			found = append(found, fmt.Sprintf("%s got answer %q, another call with the same key got %q", c.id, first, c.text))
+		if first, known := responses[key]; known && first != c.text {
+			found = append(found, fmt.Sprintf("%s got response %q, another call with the same key got %q", c.id, first, c.text))
 		}
-		answers[key] = c.text
+		responses[key] = c.text
 	}
 	for key, n := range runs {
 		if n > 1 {
-			found = append(found, fmt.Sprintf("%s ran %d times", key, n))
+			found = append(found, fmt.Sprintf("calls with key %q ran %d times, want at most 1", key, n))
 		}
 	}
 	return found
@@ -92,7 +92,7 @@
 		for _, c := range r.calls {
 			service := c.model == "lookup" || c.model == "screen"
 			if c.refusal != nil && service {
-				found = append(found, fmt.Sprintf("%s (%s): %v", c.id, c.model, c.refusal))
+				found = append(found, fmt.Sprintf("%s (%s) was refused without an injected failure: %v", c.id, c.model, c.refusal))
 			}
 			if c.refusal == nil {
 				served++
--- a/pkg/entryhost/listener_test.go
+++ b/pkg/entryhost/listener_test.go
@@ -20,20 +20,20 @@
 	l := newDrainListener(tcp.(*net.TCPListener))
 	const callers = 20
 	var connected, ended sync.WaitGroup
-	statuses := make(chan int, callers)
+	responseSizes := make(chan int, callers)
 	for range callers {
 		connected.Add(1)
 		ended.Go(func() {
 			c, err := net.Dial("tcp", l.Addr().String())
 			connected.Done()
 			if err != nil {
-				statuses <- 0
+				responseSizes <- 0
 				return
 			}
 			defer c.Close()
-			_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n") // A reset results in an empty answer.
-			answer, _ := io.ReadAll(c)
-			statuses <- len(answer)
+			_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n") // After a reset the response is empty.
+			response, _ := io.ReadAll(c)
+			responseSizes <- len(response)
 		})
 	}
 	connected.Wait()
@@ -43,7 +43,7 @@
 	go func() { served <- s.Serve(l) }()
 	ended.Wait()
 	for range callers {
-		is.True(<-statuses > 0)
+		is.True(<-responseSizes > 0)
 	}
 	_, err = net.Dial("tcp", l.Addr().String())
 	is.True(err != nil)
--- a/pkg/entryhost/load_test.go
+++ b/pkg/entryhost/load_test.go
@@ -49,15 +49,15 @@
 func withThreeHosts(t *testing.T, f func(is *is.I, f *fakeCluster, hosts []*fakeHost)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newFakeCluster()
-		w.addEngine("e0", "p", true)
-		w.addEngine("e1", "p", false)
-		w.addService("l0", "lookup")
-		hosts := []*fakeHost{w.startHost("h0"), w.startHost("h1"), w.startHost("h2")}
-		w.publish(0, testContract)
+		cluster := newFakeCluster()
+		cluster.addEngine("e0", "p", true)
+		cluster.addEngine("e1", "p", false)
+		cluster.addService("l0", "lookup")
+		hosts := []*fakeHost{cluster.startHost("h0"), cluster.startHost("h1"), cluster.startHost("h2")}
+		cluster.publish(0, testContract)
 		time.Sleep(settleTime)
-		f(is.NewRelaxed(t), w, hosts)
-		w.stopAll()
+		f(is.NewRelaxed(t), cluster, hosts)
+		cluster.stopAll()
 	})
 }
 
--- a/pkg/entryhost/loops.go
+++ b/pkg/entryhost/loops.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// appendWithTimeout appends a record that is safe to lose. It returns an error if the append does
+// appendWithTimeout appends a record whose loss is harmless. It returns an error if the append does
 // not complete within the session TTL or if the record is rejected.
 func (h *Host) appendWithTimeout(ctx context.Context, r record.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, h.settings.Timing.SessionTTL)
@@ -102,7 +102,7 @@
 }
 
 func (h *Host) pollHostList(ctx context.Context) {
-	hosts, err := h.list.List(ctx)
+	hosts, err := h.hostList.List(ctx)
 	if err != nil {
 		h.metrics.listFailed()
 		return
--- a/pkg/entryhost/peer_handler.go
+++ b/pkg/entryhost/peer_handler.go
@@ -13,10 +13,10 @@
 func (p peerHandler) HandleUsage(r peer.UsageReport) { p.host.handleUsage(r) }
 
 // HandleDrain implements peer.Handler.
-func (p peerHandler) HandleDrain(l peer.DrainNotice) {
+func (p peerHandler) HandleDrain(n peer.DrainNotice) {
 	p.host.membersMu.Lock()
 	defer p.host.membersMu.Unlock()
-	for _, draining := range l.Endpoints {
+	for _, draining := range n.Endpoints {
 		p.host.members.MarkDraining(draining)
 	}
 }
--- a/pkg/entryhost/schedule_test.go
+++ b/pkg/entryhost/schedule_test.go
@@ -39,15 +39,15 @@
 
 // testCall is a request and its outcome as seen by the caller.
 type testCall struct {
-	id       string
-	model    string
-	key      string
-	start    time.Time
-	end      time.Time
-	deadline time.Time
-	text     string
-	refusal  *completion.Refusal
-	answers  int
+	id        string
+	model     string
+	key       string
+	start     time.Time
+	end       time.Time
+	deadline  time.Time
+	text      string
+	refusal   *completion.Refusal
+	responses int
 	// timeout is the time until the deadline of the call. The default is maxWait.
 	timeout time.Duration
 	// customer defaults to "c". body defaults to the prompt.
@@ -74,7 +74,7 @@
 	c.deadline = c.start.Add(cmp.Or(c.timeout, maxWait))
 	defer func() {
 		c.end = time.Now()
-		c.answers++
+		c.responses++
 	}()
 	customer := cmp.Or(c.customer, "c")
 	entry, ok := h.state.Contracts.Get(customer)
@@ -248,15 +248,15 @@
 		f.logDown = true
 		time.AfterFunc(time.Duration(e.arg+1)*time.Second, func() { f.setLogDown(false) })
 	case "lose append answers":
-		f.loseAppendAnswers += e.arg
+		f.loseAppendResponses += e.arg
 	case "late appends":
 		f.lateAppends += e.arg
 	case "lose answers":
-		engine.loseAnswers += e.arg
+		engine.loseResponses += e.arg
 	case "cut streams":
-		engine.cutAfter = e.arg
+		engine.truncateAfter = e.arg
 	case "cross answers":
-		engine.crossAnswers = !engine.crossAnswers
+		engine.mislabelTokens = !engine.mislabelTokens
 	case "slow loads":
 		engine.loadTime = time.Duration(e.arg+1) * time.Second
 	case "restart endpoint":
--- a/pkg/entryhost/stream_test.go
+++ b/pkg/entryhost/stream_test.go
@@ -40,7 +40,7 @@
 func TestBrokenStreamIsResumedOrReported(t *testing.T) {
 	withThreeHosts(t, func(is *is.I, f *fakeCluster, hosts []*fakeHost) {
 		for _, e := range f.engines {
-			e.cutAfter = 2
+			e.truncateAfter = 2
 		}
 		complete, refusal := stream(hosts[0], "m1", "q1")
 		is.Equal(refusal, nil)
