--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -298,7 +298,7 @@
 	if faults.MislabelTokens {
 		id = "another-request"
 	}
-	words := answerTokens(in)
+	words := responseTokens(in)
 	out := json.NewEncoder(w)
 	delay := e.cfg.FirstToken
 	for i := in.ResumeFrom; i < len(words); i++ {
@@ -317,9 +317,9 @@
 	_ = out.Encode(external.Token{RequestID: id, Index: len(words), Done: true, Reason: "stop"})
 }
 
-// answerTokens returns the tokens of the answer. They depend only on the request, so that a stream
+// responseTokens returns the tokens of the response. They depend only on the request, so that a stream
 // can be resumed on another replica.
-func answerTokens(in external.GenerateRequest) []string {
+func responseTokens(in external.GenerateRequest) []string {
 	words := strings.Fields(fmt.Sprintf("%s answers: %s", in.Model, in.Prompt))
 	for i := range words[1:] {
 		words[i+1] = " " + words[i+1]
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -126,7 +126,7 @@
 	}
 	wait.For(r.Context(), faults.Delay)
 	off := l.Append(in.Data)
-	if l.loseAnswer() {
+	if l.loseResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, map[string]record.Offset{"offset": off})
@@ -138,7 +138,7 @@
 	return l.faults
 }
 
-func (l *Log) loseAnswer() bool {
+func (l *Log) loseResponse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.LoseResponses == 0 {
--- a/internal/standin/site/endpoint.go
+++ b/internal/standin/site/endpoint.go
@@ -78,15 +78,19 @@
 	store  *Store
 	server *http.Server
 
-	mu            sync.Mutex
-	loaded        map[string]map[string]bool
-	diskCopies    map[string]bool
-	loading       string
-	sequence      int64
-	fence         int64
-	running       int
-	runs          []Run
-	violations    []string
+	mu sync.Mutex
+	// loaded holds the set of loaded adapters of each loaded model.
+	loaded     map[string]map[string]bool
+	diskCopies map[string]bool
+	loading    string
+	// sequence counts the orders that passed the fencing and conflict checks.
+	sequence int64
+	// fence is the highest fencing token accepted.
+	fence      int64
+	running    int
+	runs       []Run
+	violations []string
+	// entrySequence counts the entries published to the store.
 	entrySequence int64
 	draining      bool
 	// rate is the rate limit sent in the Server-Limit header. It is optional.
@@ -202,11 +206,11 @@
 func (e *Endpoint) loadedModels() []wireModel {
 	out := []wireModel{}
 	for m, adapters := range e.loaded {
-		h := wireModel{Name: m, Version: 1, Adapters: []string{}}
+		entry := wireModel{Name: m, Version: 1, Adapters: []string{}}
 		for a := range adapters {
-			h.Adapters = append(h.Adapters, a)
+			entry.Adapters = append(entry.Adapters, a)
 		}
-		out = append(out, h)
+		out = append(out, entry)
 	}
 	return out
 }
--- a/internal/standin/site/orders.go
+++ b/internal/standin/site/orders.go
@@ -80,10 +80,10 @@
 // endpoint. e.mu must be held.
 func (e *Endpoint) checkCapacity() {
 	sum, adapters := 0.0, 0
-	for name, held := range e.loaded {
+	for name, loadedAdapters := range e.loaded {
 		m, _ := e.model(name)
-		sum += m.WeightsMB + float64(len(held))*m.AdapterMB
-		adapters += len(held)
+		sum += m.WeightsMB + float64(len(loadedAdapters))*m.AdapterMB
+		adapters += len(loadedAdapters)
 	}
 	if m, ok := e.model(e.loading); ok {
 		sum += m.WeightsMB
--- a/internal/standin/site/requests.go
+++ b/internal/standin/site/requests.go
@@ -64,11 +64,11 @@
 	if e.config.Behave != nil {
 		b = e.config.Behave(id, model, len(e.runs))
 	}
-	held := e.loaded[model]
+	adapters := e.loaded[model]
 	switch {
 	case r.Header.Get("X-Expected-Instance") != e.config.ID:
 		return b, http.StatusMisdirectedRequest
-	case len(e.config.Models) > 0 && (held == nil || adapter != "" && !held[adapter]):
+	case len(e.config.Models) > 0 && (adapters == nil || adapter != "" && !adapters[adapter]):
 		return b, http.StatusMisdirectedRequest
 	case b.Reject || e.running >= e.config.Slots:
 		return b, http.StatusServiceUnavailable
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -141,15 +141,15 @@
 			}
 		}
 		// Calls in progress when the listener changes to FaultNoResponse are never answered.
-		answer := httptest.NewRecorder()
-		next.ServeHTTP(answer, r)
+		response := httptest.NewRecorder()
+		next.ServeHTTP(response, r)
 		if _, after := l.faultState(); after != before {
 			<-r.Context().Done()
 			return
 		}
-		maps.Copy(w.Header(), answer.Header())
-		w.WriteHeader(answer.Code)
-		_, _ = w.Write(answer.Body.Bytes())
+		maps.Copy(w.Header(), response.Header())
+		w.WriteHeader(response.Code)
+		_, _ = w.Write(response.Body.Bytes())
 	})
 }
 
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -110,7 +110,8 @@
 type hostChange struct {
 	visibleAt time.Time
 	name      string
-	host      *external.ListedHost
+	// host is nil if the host is removed.
+	host *external.ListedHost
 }
 
 // NewHosts returns an empty host list with the given lag.
