--- a/pkg/emulator/baseline.go
+++ b/pkg/emulator/baseline.go
@@ -68,8 +68,8 @@
 	return slices.ContainsFunc(b.snap.Endpoints, func(e residency.Endpoint) bool { return e.Copies[model] > residency.InStore })
 }
 
-// findEndpoint plans a load of m on the first free endpoint, with withCopy only on
-// one that has a copy of the weights.
+// findEndpoint plans a load of m on the first free endpoint. If withCopy is set, it
+// considers only endpoints that have a copy of the weights.
 func (b *baselinePolicy) findEndpoint(m residency.Model, withCopy bool) (residency.Swap, bool) {
 	for i, e := range b.snap.Endpoints {
 		if e.Busy || b.assigned[i] || withCopy && e.Copies[m.Name] == residency.InStore {
--- a/pkg/emulator/placement.go
+++ b/pkg/emulator/placement.go
@@ -9,7 +9,7 @@
 	"github.com/tealvane/tealvane/pkg/serve"
 )
 
-// decide reports demand to the policy and starts the swaps that it returns.
+// decide records the current demand and starts the swaps that the policy returns for it.
 func (sim *simulation) decide() {
 	sim.demand.AddReport(sim.now, sim.demandReport())
 	snap := residency.Snapshot{
--- a/pkg/emulator/result.go
+++ b/pkg/emulator/result.go
@@ -11,7 +11,8 @@
 	// Loads counts all model loads, StoreLoads those from the weight store.
 	Loads      int `json:"loads"`
 	StoreLoads int `json:"store_loads"`
-	// Worth is the worth earned, as a fraction of the worth of all requests.
+	// Worth is the total worth of the responses less the hold costs of refused requests,
+	// as a fraction of the worth of all requests.
 	Worth float64 `json:"worth"`
 }
 
@@ -40,18 +41,18 @@
 
 // finish computes the worth and the percentiles after the simulation.
 func (r *Result) finish(s Scenario) {
-	earned, asked := 0.0, 0.0
+	earned, total := 0.0, 0.0
 	for i, c := range s.Classes {
 		stats := &r.Classes[i]
 		earned += float64(stats.OnTime)*c.Worth + float64(stats.Late)*c.LateWorth - stats.HoldCost*c.Worth
-		asked += float64(stats.Requested) * c.Worth
+		total += float64(stats.Requested) * c.Worth
 		slices.Sort(stats.waits)
 		if n := len(stats.waits); n > 0 {
 			stats.Median = stats.waits[n/2].Milliseconds()
 			stats.Tail = stats.waits[n*95/100].Milliseconds()
 		}
 	}
-	if asked > 0 {
-		r.Worth = earned / asked
+	if total > 0 {
+		r.Worth = earned / total
 	}
 }
--- a/pkg/emulator/simulation.go
+++ b/pkg/emulator/simulation.go
@@ -16,8 +16,8 @@
 const (
 	// tick is the step of virtual time.
 	tick = 5 * time.Millisecond
-	// decideEvery is the interval between demand reports and placement decisions.
-	decideEvery = 20 * time.Millisecond
+	// decideInterval is the interval between demand reports and placement decisions.
+	decideInterval = 20 * time.Millisecond
 	// firstToken is the time to first token of an idle endpoint.
 	firstToken = 25 * time.Millisecond
 	// service is the name of the simulated service.
@@ -196,7 +196,7 @@
 		sim.finish()
 		sim.advanceSwaps()
 		sim.dispatch()
-		if n%int(decideEvery/tick) == 0 {
+		if n%int(decideInterval/tick) == 0 {
 			sim.decide()
 		}
 		sim.now = sim.now.Add(tick)
