--- a/cmd/tealvane-standin/main.go
+++ b/cmd/tealvane-standin/main.go
@@ -14,7 +14,7 @@
 )
 
 // platformName is the value of -only that selects the log, the weight store and the
-// list of hosts.
+// host list.
 const platformName = "platform"
 
 func main() {
--- a/examples/local/up.sh
+++ b/examples/local/up.sh
@@ -18,7 +18,7 @@
 done
 for i in 1 2 3; do run "entry-$i" "$bin/tealvaned" -config "$local_dir/entry-$i.yaml"; done
 for i in 1 2 3; do until curl -sf "http://127.0.0.1:710$i/readyz" >/dev/null; do sleep 0.1; done; done
-# Retry: the list of hosts is updated with a delay, so the entry host may not know
+# Retry: the host list is updated with a delay, so the entry host may not know
 # the pool yet.
 for try in 1 2 3 4 5 6 7 8 9 10; do
   "$bin/tealvane" contract publish -operators http://127.0.0.1:7101 -base 0 examples/dev/contract.yaml && break
--- a/internal/cli/contract.go
+++ b/internal/cli/contract.go
@@ -21,27 +21,27 @@
 	token string
 }
 
-func (t *operatorClient) setFlags(f *flag.FlagSet) {
-	f.StringVar(&t.url, "operators", "http://127.0.0.1:7101", "operators' URL of an entry host")
-	f.StringVar(&t.token, "token", os.Getenv("TEALVANE_OPERATOR_TOKEN"), "operators' token")
+func (c *operatorClient) setFlags(f *flag.FlagSet) {
+	f.StringVar(&c.url, "operators", "http://127.0.0.1:7101", "operators' URL of an entry host")
+	f.StringVar(&c.token, "token", os.Getenv("TEALVANE_OPERATOR_TOKEN"), "operators' token")
 }
 
 // Bearer implements operators.SecuritySource.
-func (t *operatorClient) Bearer(context.Context, operators.OperationName) (operators.Bearer, error) {
-	if t.token == "" {
+func (c *operatorClient) Bearer(context.Context, operators.OperationName) (operators.Bearer, error) {
+	if c.token == "" {
 		// On a loopback address the API accepts any token, but requires one.
 		return operators.Bearer{Token: "none"}, nil
 	}
-	return operators.Bearer{Token: t.token}, nil
+	return operators.Bearer{Token: c.token}, nil
 }
 
-func (t *operatorClient) client() (*operators.Client, error) {
-	return operators.NewClient(t.url, t)
+func (c *operatorClient) client() (*operators.Client, error) {
+	return operators.NewClient(c.url, c)
 }
 
-// withFindings returns the findings in an error response, or its message. Other
+// responseError returns the findings in an error response, or its message. Other
 // errors are returned unchanged.
-func withFindings(file string, err error) error {
+func responseError(file string, err error) error {
 	var status *operators.ErrorStatusCode
 	if !errors.As(err, &status) {
 		return err
@@ -141,7 +141,7 @@
 		&operators.Publication{BaseVersion: c.base, Document: string(data)},
 		operators.PublishContractParams{Customer: parsed.Customer})
 	if err != nil {
-		return c.fail(withFindings(f.Arg(0), err))
+		return c.fail(responseError(f.Arg(0), err))
 	}
 	fmt.Fprintf(c.out, "%s: version %d is in force (offset %d)\n", out.Customer, out.Version, out.Offset)
 	return subcommands.ExitSuccess
@@ -171,7 +171,7 @@
 	}
 	list, err := client.ListContracts(ctx)
 	if err != nil {
-		return c.fail(withFindings("", err))
+		return c.fail(responseError("", err))
 	}
 	if c.format == "json" {
 		return c.writeJSON(list)
@@ -223,7 +223,7 @@
 	}
 	out, err := client.GetContract(ctx, operators.GetContractParams{Customer: f.Arg(0)})
 	if err != nil {
-		return c.fail(withFindings("", err))
+		return c.fail(responseError("", err))
 	}
 	fmt.Fprintf(c.out, "# version %d\n%s", out.Version, out.Document)
 	return subcommands.ExitSuccess
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -44,7 +44,7 @@
 	}
 	s, err := client.GetStatus(ctx)
 	if err != nil {
-		return c.fail(withFindings("", err))
+		return c.fail(responseError("", err))
 	}
 	if c.format == "json" {
 		return c.writeJSON(s)
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -23,7 +23,7 @@
 	return false
 }
 
-// jitterDivisor is the divisor of the largest jitter.
+// jitterDivisor is the ratio of a duration to its maximum jitter.
 const jitterDivisor = 4
 
 // Jitter returns d plus or minus up to a quarter, so that hosts that started at the
--- a/test/process/bench_test.go
+++ b/test/process/bench_test.go
@@ -33,7 +33,7 @@
 	defer resp.Body.Close()
 	lines := bufio.NewReader(resp.Body)
 	if _, err := lines.ReadString('\n'); err != nil || resp.StatusCode != http.StatusOK {
-		b.Fatalf("status %d: %v", resp.StatusCode, err)
+		b.Fatalf("no first token from %s: status %d, error %v", url, resp.StatusCode, err)
 	}
 	first := time.Since(start)
 	for err == nil {
--- a/test/process/process_test.go
+++ b/test/process/process_test.go
@@ -61,7 +61,7 @@
 	prompt := strings.TrimSpace(strings.Repeat("word ", 50))
 	var stop atomic.Bool
 	var clients sync.WaitGroup
-	var served, cut atomic.Int64
+	var served, failed atomic.Int64
 	for _, e := range c.entryHosts {
 		for range 4 {
 			clients.Go(func() {
@@ -71,7 +71,7 @@
 					case errors.Is(r.err, syscall.ECONNREFUSED):
 						return
 					case r.err != nil || r.status != http.StatusOK || !strings.Contains(r.body, prompt):
-						cut.Add(1)
+						failed.Add(1)
 						t.Logf("unexpected response from %s: status %d, body %q, error %v", e.name, r.status, r.body, r.err)
 					default:
 						served.Add(1)
@@ -89,7 +89,7 @@
 	c.waitUntil("served requests at the last host", func() bool { return served.Load() > after+20 })
 	stop.Store(true)
 	clients.Wait()
-	is.Equal(cut.Load(), int64(0))
+	is.Equal(failed.Load(), int64(0))
 	is.Equal(c.owner(others[1]), others[1])
 }
 
