--- a/pkg/emulator/dispatch.go
+++ b/pkg/emulator/dispatch.go
@@ -79,7 +79,8 @@
 }
 
 // holdCost returns the cost of holding a request that is then refused, as a
-// fraction of the worth of a response.
+// fraction of the worth of a response. It rises linearly from 0, until freeShare of the
+// objective, to 1, from fullShare of the budget.
 func holdCost(held time.Duration, c *Class) float64 {
 	const freeShare, fullShare = 0.125, 0.75
 	freeUntil, fullFrom := freeShare*c.Objective.Seconds(), fullShare*c.Budget.Seconds()
--- a/pkg/emulator/scenario.go
+++ b/pkg/emulator/scenario.go
@@ -49,7 +49,7 @@
 type Class struct {
 	Name string `yaml:"name"`
 	// Models is the number of models, Rate the requests per second for all of them,
-	// Skew the exponent of their Zipf distribution. With 0 all are equally popular.
+	// Skew the exponent of their Zipf distribution. If it is 0, all are equally popular.
 	Models int     `yaml:"models"`
 	Rate   float64 `yaml:"rate"`
 	Skew   float64 `yaml:"skew"`
--- a/pkg/entryhost/deferred.go
+++ b/pkg/entryhost/deferred.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// deferredTimeout is the deadline of one attempt at a deferred request.
+	// deferredTimeout is the timeout of one attempt at a deferred request.
 	deferredTimeout       = 10 * time.Minute
 	deferredRetryInterval = 5 * time.Second
 	// maxConcurrentDeferred bounds the deferred requests that one host runs concurrently.
--- a/pkg/entryhost/drain.go
+++ b/pkg/entryhost/drain.go
@@ -13,10 +13,10 @@
 	Shutdown(ctx context.Context) error
 }
 
-// drain shuts the host down gracefully. The host accepts requests until the load balancer has seen
-// that it is not ready, hands its pools over and waits for requests in progress. If no order is in
-// flight, it then ends its session, so that other hosts do not have to wait for the session to
-// expire.
+// drain shuts the host down gracefully. The host keeps accepting requests until the load balancer
+// has had time to observe that it is not ready, hands its pools over and waits for requests in
+// progress. If no order is in flight, it then ends its session, so that other hosts do not have to
+// wait for the session to expire.
 func (h *Host) drain(ctx context.Context, callers shutdowner) {
 	h.logger.Info("stopping")
 	h.stopping.Store(true)
--- a/pkg/entryhost/load_test.go
+++ b/pkg/entryhost/load_test.go
@@ -16,7 +16,8 @@
 	"github.com/tealvane/tealvane/pkg/external"
 )
 
-// burst sends n calls to the hosts in turn and waits for all answers.
+// burst sends n calls to the hosts in turn, spread evenly over a period, and waits for all
+// responses.
 func burst(hosts []*fakeHost, model string, n int, spread time.Duration) []*testCall {
 	return burstWithTimeout(hosts, model, n, spread, maxWait)
 }
