--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -51,11 +51,14 @@
 	faults     EngineFaults
 	fenceToken record.Offset
 	replicas   map[record.ReplicaID]*replica
-	running    map[string]context.CancelFunc
-	ran        []string
-	peakMB     int64
-	peak       map[string]int
-	loads      int
+	// running holds the cancel functions of requests in progress by request ID.
+	running map[string]context.CancelFunc
+	// ran lists the IDs of all requests that ran.
+	ran    []string
+	peakMB int64
+	// peakReplicas is the peak number of replicas of each model.
+	peakReplicas map[string]int
+	loads        int
 }
 
 type replica struct {
@@ -67,11 +70,11 @@
 // NewEngine returns an engine without replicas.
 func NewEngine(cfg EngineConfig) *Engine {
 	return &Engine{
-		cfg:         cfg,
-		incarnation: record.Incarnation(uuid.NewString()),
-		replicas:    map[record.ReplicaID]*replica{},
-		running:     map[string]context.CancelFunc{},
-		peak:        map[string]int{},
+		cfg:          cfg,
+		incarnation:  record.Incarnation(uuid.NewString()),
+		replicas:     map[record.ReplicaID]*replica{},
+		running:      map[string]context.CancelFunc{},
+		peakReplicas: map[string]int{},
 	}
 }
 
@@ -100,7 +103,7 @@
 func (e *Engine) Activity() Activity {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return Activity{slices.Clone(e.ran), e.peakMB, maps.Clone(e.peak), e.loads}
+	return Activity{slices.Clone(e.ran), e.peakMB, maps.Clone(e.peakReplicas), e.loads}
 }
 
 // Handler returns a handler for the engine protocol and, under /control, for fault injection.
@@ -180,8 +183,8 @@
 // load loads a replica and returns when it is loaded. Concurrent loads of the same replica share
 // the first one.
 func (e *Engine) load(o order) error {
-	r, first, faults := e.reserve(o)
-	if !first {
+	r, created, faults := e.reserve(o)
+	if !created {
 		<-r.loaded
 		return r.failed
 	}
@@ -200,6 +203,8 @@
 	return r.failed
 }
 
+// reserve returns the replica of a load order, whether it was created by this call, and the
+// current faults.
 func (e *Engine) reserve(o order) (*replica, bool, EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -219,7 +224,7 @@
 		counts[r.Model]++
 	}
 	e.peakMB = max(e.peakMB, sum)
-	e.peak[o.Model] = max(e.peak[o.Model], counts[o.Model])
+	e.peakReplicas[o.Model] = max(e.peakReplicas[o.Model], counts[o.Model])
 	return r, true, e.faults
 }
 
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -31,9 +31,11 @@
 
 // Log is an in-memory append-only log with one stream. It is safe for concurrent use.
 type Log struct {
-	mu       sync.Mutex
-	first    record.Offset
-	records  [][]byte
+	mu sync.Mutex
+	// first is the offset of the first available record.
+	first   record.Offset
+	records [][]byte
+	// appended is closed and replaced by each append.
 	appended chan struct{}
 	faults   LogFaults
 	appends  int
--- a/test/process/bench_test.go
+++ b/test/process/bench_test.go
@@ -61,7 +61,7 @@
 	engine := ""
 	for _, name := range []string{"engine-1", "engine-2", "engine-3"} {
 		if c.observed(name).Loads > 0 {
-			engine = c.endpoints[name]
+			engine = c.endpointURLs[name]
 		}
 	}
 	var viaHost, direct []time.Duration
--- a/test/process/cluster_test.go
+++ b/test/process/cluster_test.go
@@ -140,12 +140,13 @@
 
 // cluster is a set of stand-ins and entry hosts, each running as a process.
 type cluster struct {
-	t          testing.TB
-	platform   string
-	endpoints  map[string]string
-	processes  map[string]*process
-	entryHosts []*entryHost
-	dir        string
+	t           testing.TB
+	platformURL string
+	// endpointURLs maps names of endpoints to their URLs.
+	endpointURLs map[string]string
+	processes    map[string]*process
+	entryHosts   []*entryHost
+	dir          string
 }
 
 const standinConfig = `
@@ -166,10 +167,10 @@
 // owner that knows all endpoints.
 func newCluster(t testing.TB, hosts int) *cluster {
 	t.Helper()
-	c := &cluster{t: t, endpoints: map[string]string{}, processes: map[string]*process{}, dir: t.TempDir()}
+	c := &cluster{t: t, endpointURLs: map[string]string{}, processes: map[string]*process{}, dir: t.TempDir()}
 	c.write("standins.yaml", standinConfig)
 	platform := startProcess(t, "tealvane-standin", "-config", c.path("standins.yaml"), "-only", "platform")
-	c.platform = strings.Fields(platform.waitForLine("platform http"))[1]
+	c.platformURL = strings.Fields(platform.waitForLine("platform http"))[1]
 	for _, name := range []string{"engine-1", "engine-2", "engine-3", "screening-1", "lookup-1"} {
 		c.startEndpoint(name)
 	}
@@ -207,8 +208,8 @@
 }
 
 func (c *cluster) startEndpoint(name string) {
-	p := startProcess(c.t, "tealvane-standin", "-config", c.path("standins.yaml"), "-only", name, "-platform", c.platform)
-	c.endpoints[name] = strings.Fields(p.waitForLine("endpoint " + name))[2]
+	p := startProcess(c.t, "tealvane-standin", "-config", c.path("standins.yaml"), "-only", name, "-platform", c.platformURL)
+	c.endpointURLs[name] = strings.Fields(p.waitForLine("endpoint " + name))[2]
 	c.processes[name] = p
 }
 
@@ -224,7 +225,7 @@
 platform: {log: "%[4]s", host_list: "%[4]s"}
 weight_store: {concurrent: 4, per_second: 50}
 timing: {readiness_lag: 100ms, session_renew: 200ms, session_ttl: 2s, tick: 20ms, probe: 100ms, host_list_poll: 100ms, drain_timeout: 60s}
-`, name, 1+i%2, c.dir, c.platform))
+`, name, 1+i%2, c.dir, c.platformURL))
 	p := startProcess(c.t, "tealvaned", "-config", c.path(file))
 	var serving struct{ Callers, Operators string }
 	if err := json.Unmarshal([]byte(p.waitForLine(`"serving"`)), &serving); err != nil {
@@ -343,7 +344,7 @@
 	Loads  int
 }) {
 	c.t.Helper()
-	resp, err := http.Get(c.endpoints[name] + "/control/observed")
+	resp, err := http.Get(c.endpointURLs[name] + "/control/observed")
 	if err != nil {
 		c.t.Fatal(err)
 	}
