--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -31,9 +31,11 @@
 
 // Log is an in-memory append-only log with one stream. It is safe for concurrent use.
 type Log struct {
-	mu       sync.Mutex
-	first    record.Offset
-	records  [][]byte
+	mu sync.Mutex
+	// first is the offset of the first available record.
+	first   record.Offset
+	records [][]byte
+	// appended is closed and replaced by each append.
 	appended chan struct{}
 	faults   LogFaults
 	appends  int
@@ -126,7 +128,7 @@
 	}
 	wait.For(r.Context(), faults.Delay)
 	off := l.Append(in.Data)
-	if l.loseAnswer() {
+	if l.loseResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, map[string]record.Offset{"offset": off})
@@ -138,7 +140,7 @@
 	return l.faults
 }
 
-func (l *Log) loseAnswer() bool {
+func (l *Log) loseResponse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.LoseResponses == 0 {
--- a/test/process/bench_test.go
+++ b/test/process/bench_test.go
@@ -33,7 +33,7 @@
 	defer resp.Body.Close()
 	lines := bufio.NewReader(resp.Body)
 	if _, err := lines.ReadString('\n'); err != nil || resp.StatusCode != http.StatusOK {
-		b.Fatalf("status %d: %v", resp.StatusCode, err)
+		b.Fatalf("no first token from %s: status %d, error %v", url, resp.StatusCode, err)
 	}
 	first := time.Since(start)
 	for err == nil {
@@ -61,7 +61,7 @@
 	engine := ""
 	for _, name := range []string{"engine-1", "engine-2", "engine-3"} {
 		if c.observed(name).Loads > 0 {
-			engine = c.endpoints[name]
+			engine = c.endpointURLs[name]
 		}
 	}
 	var viaHost, direct []time.Duration
