--- a/pkg/peer/frame.go
+++ b/pkg/peer/frame.go
@@ -19,7 +19,7 @@
 		return errors.Wrap(err, "encode peer message")
 	}
 	if len(body) > maxMessageBytes {
-		return errors.Wrapf(ErrInvalidMessage, "%d bytes, limit %d", len(body), maxMessageBytes)
+		return errors.Wrapf(ErrInvalidMessage, "encoded size %d bytes, limit %d", len(body), maxMessageBytes)
 	}
 	frame := binary.BigEndian.AppendUint32(make([]byte, 0, frameHeaderBytes+len(body)), uint32(len(body)))
 	_, err = w.Write(append(frame, body...))
@@ -34,14 +34,14 @@
 	}
 	size := binary.BigEndian.Uint32(header[:])
 	if size > maxMessageBytes {
-		return errors.Wrapf(ErrInvalidMessage, "%d bytes, limit %d", size, maxMessageBytes)
+		return errors.Wrapf(ErrInvalidMessage, "body size %d bytes, limit %d", size, maxMessageBytes)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return errors.Wrapf(ErrInvalidMessage, "%v", err)
+		return errors.Wrapf(ErrInvalidMessage, "read body of %d bytes: %v", size, err)
 	}
 	if err := record.Unmarshal(body, v); err != nil {
-		return errors.Wrapf(ErrInvalidMessage, "%v", err)
+		return errors.Wrapf(ErrInvalidMessage, "decode body of %d bytes: %v", size, err)
 	}
 	return nil
 }
--- a/pkg/peer/handler.go
+++ b/pkg/peer/handler.go
@@ -10,8 +10,8 @@
 	return func(r Request) []Response { return Handle(h, r) }
 }
 
-// Handle passes a request to a handler and returns its responses. An unknown kind of request
-// gets one empty response; after an error of the handler there is no response.
+// Handle passes a request to a handler and returns its responses. A request of an unknown kind
+// gets one empty response. If the handler fails, there is no response.
 func Handle(h Handler, r Request) []Response {
 	switch {
 	case r.Usage != nil:
--- a/pkg/peer/message.go
+++ b/pkg/peer/message.go
@@ -20,8 +20,8 @@
 // maxTail limits the number of records in one tail response.
 const maxTail = 2000
 
-// Request is a message to another host. Exactly one of its bodies is set. A host answers a
-// request of an unknown kind with an empty response.
+// Request is a message to another host. At most one of its bodies is set. A request without
+// a body, or with one of an unknown kind, gets a response without request-specific fields.
 type Request struct {
 	Version  int          `cbor:"1,keyasint"`
 	Usage    *UsageReport `cbor:"2,keyasint,omitempty"`
@@ -85,8 +85,8 @@
 	State       *StateResponse `cbor:"7,keyasint,omitempty"`
 	// ConfigVersion is the configuration version in use at the responding host.
 	ConfigVersion int64 `cbor:"8,keyasint,omitempty"`
-	// HolderHeartbeatAge is the time in milliseconds since the responding host heard from the holder
-	// of that claim.
+	// HolderHeartbeatAge is the time in milliseconds since the responding host received a
+	// heartbeat of the holder of that claim.
 	HolderHeartbeatAge int64 `cbor:"9,keyasint,omitempty"`
 	// StoreAge is the time in milliseconds since the store last responded to that host.
 	StoreAge int64 `cbor:"10,keyasint,omitempty"`
@@ -98,7 +98,7 @@
 // Handler handles the requests of other hosts.
 type Handler interface {
 	HandleUsage(r UsageReport)
-	HandleDrain(l DrainNotice)
+	HandleDrain(n DrainNotice)
 	HandleTail(r TailRequest) ([]external.Entry, error)
 	HandleSnapshot() ([]record.Snapshot, error)
 }
--- a/pkg/peer/node.go
+++ b/pkg/peer/node.go
@@ -17,7 +17,7 @@
 	idleTimeout      = 10 * time.Second
 	keepAlive        = 3 * time.Second
 	handshakeTimeout = time.Second
-	answerTimeout    = 5 * time.Second
+	streamTimeout    = 5 * time.Second
 	maxPeerStreams   = 256
 	// maxSnapshotChunks limits the size of a snapshot.
 	maxSnapshotChunks = 4096
@@ -25,10 +25,10 @@
 
 // Node sends requests to other hosts and responds to theirs.
 type Node struct {
-	tls     *tls.Config
+	dialTLS *tls.Config
 	respond Responder
-	// isKnown reports whether a certificate belongs to a isKnown host; if it is nil, all hosts
-	// are isKnown.
+	// isKnown reports whether a certificate belongs to a known host. If it is nil, all hosts
+	// count as known.
 	isKnown   func(Fingerprint) bool
 	transport *quic.Transport
 	listener  *quic.Listener
@@ -61,7 +61,7 @@
 		return nil, errors.Wrap(err, "listen for peers")
 	}
 	n := &Node{
-		tls:       dial,
+		dialTLS:   dial,
 		isKnown:   isKnown,
 		respond:   respond,
 		transport: &quic.Transport{Conn: socket},
@@ -131,7 +131,7 @@
 
 func (n *Node) serveStream(conn *quic.Conn, stream *quic.Stream) {
 	defer stream.Close()
-	_ = stream.SetDeadline(time.Now().Add(answerTimeout))
+	_ = stream.SetDeadline(time.Now().Add(streamTimeout))
 	var r Request
 	if err := readFrame(stream, &r); err != nil {
 		stream.CancelWrite(0)
@@ -150,7 +150,7 @@
 // Send sends a request and returns the responses.
 func (n *Node) Send(ctx context.Context, addr string, r Request) ([]Response, error) {
 	r.Version = protocolVersion
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
 	conn, err := n.dial(ctx, addr)
 	if err != nil {
@@ -158,14 +158,14 @@
 	}
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
-		n.drop(addr, conn)
-		return nil, errors.Wrap(err, "open stream")
+		n.dropConn(addr, conn)
+		return nil, errors.Wrapf(err, "open stream to %s", addr)
 	}
 	defer stream.CancelRead(0)
 	deadline, _ := ctx.Deadline()
 	_ = stream.SetDeadline(deadline)
 	if err := writeFrame(stream, r); err != nil {
-		n.drop(addr, conn)
+		n.dropConn(addr, conn)
 		return nil, err
 	}
 	if err := stream.Close(); err != nil {
@@ -187,7 +187,7 @@
 		}
 		responses = append(responses, r)
 	}
-	return nil, errors.Wrap(ErrInvalidMessage, "response has too many messages")
+	return nil, errors.Wrapf(ErrInvalidMessage, "response has more than %d messages", maxSnapshotChunks)
 }
 
 // dial returns the open connection to an address, or opens a new one.
@@ -202,7 +202,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "resolve peer address")
 	}
-	conn, err = n.transport.Dial(ctx, udpAddr, n.tls, quicConfig())
+	conn, err = n.transport.Dial(ctx, udpAddr, n.dialTLS, quicConfig())
 	if err != nil {
 		return nil, errors.Wrapf(err, "dial peer %s", addr)
 	}
@@ -212,7 +212,7 @@
 	return conn, nil
 }
 
-func (n *Node) drop(addr string, conn *quic.Conn) {
+func (n *Node) dropConn(addr string, conn *quic.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.conns[addr] == conn {
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -12,7 +12,7 @@
 	"github.com/tealvane/tealvane/pkg/record"
 )
 
-// fakeHandler returns fakeHandler responses.
+// fakeHandler returns fixed responses and sends usage reports to a channel.
 type fakeHandler struct {
 	usage chan UsageReport
 }
--- a/pkg/peer/reader.go
+++ b/pkg/peer/reader.go
@@ -74,9 +74,9 @@
 			continue
 		}
 		chunks := make([]record.Snapshot, 0, len(responses))
-		for _, a := range responses {
-			if a.Chunk != nil {
-				chunks = append(chunks, *a.Chunk)
+		for _, response := range responses {
+			if response.Chunk != nil {
+				chunks = append(chunks, *response.Chunk)
 			}
 		}
 		if best == nil || chunks[0].AsOf > best[0].AsOf {
--- a/pkg/peer/tls.go
+++ b/pkg/peer/tls.go
@@ -21,7 +21,7 @@
 
 const alpn = "tealvane/1"
 
-const devValidity = 30 * 24 * time.Hour
+const certValidity = 30 * 24 * time.Hour
 
 // TLSConfig returns the TLS configuration of a host. Both sides of a connection must present a
 // certificate signed by one of roots.
@@ -53,7 +53,7 @@
 		SerialNumber:          big.NewInt(now.UnixNano()),
 		Subject:               pkix.Name{CommonName: "tealvane development authority"},
 		NotBefore:             now.Add(-time.Hour),
-		NotAfter:              now.Add(devValidity),
+		NotAfter:              now.Add(certValidity),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		KeyUsage:              x509.KeyUsageCertSign,
@@ -115,8 +115,8 @@
 		SerialNumber: big.NewInt(now.UnixNano()),
 		Subject:      pkix.Name{CommonName: serverName},
 		DNSNames:     []string{serverName},
-		NotBefore:    now.Add(-devValidity),
-		NotAfter:     now.Add(devValidity),
+		NotBefore:    now.Add(-certValidity),
+		NotAfter:     now.Add(certValidity),
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
