--- a/pkg/membership/membership.go
+++ b/pkg/membership/membership.go
@@ -47,8 +47,8 @@
 	return &Tracker{members: map[string]*member{}, draining: map[DrainingEndpoint]bool{}, hostListedAt: map[string]time.Time{}}
 }
 
-// ApplyList applies the platform's list. It returns the incarnations that were not known to be
-// draining before.
+// ApplyList applies the platform's list. It returns the draining incarnations that were
+// not marked as draining before.
 func (t *Tracker) ApplyList(now time.Time, list []external.ListedHost) []DrainingEndpoint {
 	for _, m := range t.members {
 		m.listed = false
@@ -100,11 +100,11 @@
 // MarkDraining marks an incarnation as draining and reports whether that is new. The mark is
 // never cleared for the same incarnation, so that an older or inconsistent list cannot route
 // new requests to it.
-func (t *Tracker) MarkDraining(l DrainingEndpoint) bool {
-	if t.draining[l] {
+func (t *Tracker) MarkDraining(d DrainingEndpoint) bool {
+	if t.draining[d] {
 		return false
 	}
-	t.draining[l] = true
+	t.draining[d] = true
 	return true
 }
 
@@ -122,13 +122,15 @@
 	}
 }
 
+// evictLost removes lost endpoints, and the draining marks of incarnations that have been
+// replaced.
 func (t *Tracker) evictLost(now time.Time) {
 	maps.DeleteFunc(t.members, func(_ string, m *member) bool {
 		return !m.listed && !m.reachable && now.Sub(m.lastSeen) > LostAfter
 	})
-	maps.DeleteFunc(t.draining, func(l DrainingEndpoint, _ bool) bool {
-		m := t.members[l.Endpoint]
-		return m != nil && m.host.Incarnation != l.Incarnation && m.listed && m.status.Incarnation == m.host.Incarnation
+	maps.DeleteFunc(t.draining, func(d DrainingEndpoint, _ bool) bool {
+		m := t.members[d.Endpoint]
+		return m != nil && m.host.Incarnation != d.Incarnation && m.listed && m.status.Incarnation == m.host.Incarnation
 	})
 }
 
@@ -138,8 +140,9 @@
 	return m != nil && t.memberDraining(m)
 }
 
-// memberDraining prefers the incarnation that responds to health checks. After a restart the
-// list may still show the previous one.
+// memberDraining reports whether the current incarnation of a member is draining. It prefers the
+// incarnation that responds to health checks, since after a restart the list may still show the
+// previous one.
 func (t *Tracker) memberDraining(m *member) bool {
 	if m.status.Incarnation != "" && m.status.Incarnation != m.host.Incarnation {
 		return t.draining[DrainingEndpoint{m.host.Name, m.status.Incarnation}]
