--- a/pkg/follow/follow_test.go
+++ b/pkg/follow/follow_test.go
@@ -143,15 +143,15 @@
 }
 
 // Guards against sleeping through a long pause after its reason has ended, for example when
-// the controller that confirms the endpoint list falls silent.
+// the controller stops confirming the endpoint list.
 func TestPauseIsReevaluated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStore()
 		ctx, cancel := context.WithCancel(t.Context())
-		silentAt := time.Now().Add(3 * time.Second)
+		unconfirmedAt := time.Now().Add(3 * time.Second)
 		run(ctx, s, follow.NewState(), fleet.TopicEndpoints, func() time.Duration {
-			if time.Now().Before(silentAt) {
+			if time.Now().Before(unconfirmedAt) {
 				return 10 * time.Second
 			}
 			return 700 * time.Millisecond
@@ -170,19 +170,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newStore()
-		calls := follow.NewRateLimitedStore(s)
+		limited := follow.NewRateLimitedStore(s)
 		ctx, cancel := context.WithCancel(t.Context())
 		for range 4 {
 			go func() {
 				for ctx.Err() == nil {
-					_, _ = calls.Read(ctx, fleet.TopicHosts, 0, 0)
+					_, _ = limited.Read(ctx, fleet.TopicHosts, 0, 0)
 				}
 			}()
 		}
 		time.Sleep(10 * time.Second)
 		is.True(s.count() <= 20+6*10)
 		start := time.Now()
-		_, err := calls.Put(ctx, fleet.TopicClaims, "k", nil, 0)
+		_, err := limited.Put(ctx, fleet.TopicClaims, "k", nil, 0)
 		is.NoErr(err)
 		is.Equal(time.Since(start), responseTime)
 		stop(cancel)
--- a/pkg/follow/follower.go
+++ b/pkg/follow/follower.go
@@ -54,8 +54,8 @@
 	// Reset receives the newest entries of all keys, Apply the entries that follow.
 	Reset func(fleet.Batch)
 	Apply func(fleet.Batch)
-	// Result receives the result of each read. Failed, if not nil, is called after each failed
-	// read.
+	// Result receives the error of each completed read, or nil if it succeeded. Failed, if not
+	// nil, is called after each failed read.
 	Result func(err error)
 	Failed func(ctx context.Context)
 }
