--- a/pkg/gateway/allowance.go
+++ b/pkg/gateway/allowance.go
@@ -32,20 +32,20 @@
 	mu         sync.Mutex
 	aggregator *allowance.Aggregator
 	levels     *allowance.Levels
-	// usageReported is when usage was last reported, levelsDecided when levels were last
+	// usageReportedAt is when usage was last reported, levelsDecidedAt when levels were last
 	// decided.
-	usageReported, levelsDecided time.Time
+	usageReportedAt, levelsDecidedAt time.Time
 	// logged holds the accounts last logged as near their limit; only updateAccountLevels uses
 	// it.
 	logged map[string]bool
-	// pendingRise is set until a rise has been reported; lastRise is when one was last
+	// pendingRise is set until a rise has been reported; riseReportedAt is when one was last
 	// reported.
-	pendingRise bool
-	lastRise    time.Time
+	pendingRise    bool
+	riseReportedAt time.Time
 }
 
-func newAccounts(t allowance.Tolerance, want func(), now func() time.Time) *accounts {
-	a := &accounts{now: now, requestReport: want, aggregator: allowance.NewAggregator(), levels: allowance.NewLevels(t)}
+func newAccounts(t allowance.Tolerance, requestReport func(), now func() time.Time) *accounts {
+	a := &accounts{now: now, requestReport: requestReport, aggregator: allowance.NewAggregator(), levels: allowance.NewLevels(t)}
 	a.limiter = allowance.NewLimiter(a.reportRise)
 	return a
 }
@@ -62,7 +62,7 @@
 func (a *accounts) reportRise() {
 	a.mu.Lock()
 	now := a.now()
-	due := !a.pendingRise && now.Sub(a.lastRise) >= minRiseInterval
+	due := !a.pendingRise && now.Sub(a.riseReportedAt) >= minRiseInterval
 	a.pendingRise = a.pendingRise || due
 	a.mu.Unlock()
 	if due {
@@ -75,14 +75,14 @@
 func (a *accounts) usageReport(now time.Time) (usage []fleet.AccountUsage, rising bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.pendingRise && now.Sub(a.usageReported) < usageInterval {
+	if !a.pendingRise && now.Sub(a.usageReportedAt) < usageInterval {
 		return nil, false
 	}
 	rising = a.pendingRise
 	if rising {
-		a.lastRise = now
+		a.riseReportedAt = now
 	}
-	a.pendingRise, a.usageReported = false, now
+	a.pendingRise, a.usageReportedAt = false, now
 	return a.aggregator.Sum(now, a.limiter.Usage(now), allowance.RelayTTL), rising
 }
 
@@ -98,11 +98,11 @@
 func (a *accounts) mergeUsage(now time.Time, p fleet.Pull) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	life := allowance.ControllerTTL
+	ttl := allowance.ControllerTTL
 	if p.ViaFallback {
-		life = allowance.RelayTTL
+		ttl = allowance.RelayTTL
 	}
-	a.aggregator.Add(now, p.Demand.Host, p.Accounts, life)
+	a.aggregator.Add(now, p.Demand.Host, p.Accounts, ttl)
 }
 
 // applyLevels stores which accounts are near their limits and reports whether that is new.
@@ -121,11 +121,11 @@
 // must be notified.
 func (a *accounts) decideLevels(now time.Time, token int64, c *fleet.Config) bool {
 	a.mu.Lock()
-	if !a.pendingRise && now.Sub(a.levelsDecided) < levelInterval {
+	if !a.pendingRise && now.Sub(a.levelsDecidedAt) < levelInterval {
 		a.mu.Unlock()
 		return false
 	}
-	a.pendingRise, a.levelsDecided = false, now
+	a.pendingRise, a.levelsDecidedAt = false, now
 	levels := a.levels.Decide(now, token, c.Accounts.All(), a.aggregator.Sum(now, a.limiter.Usage(now), allowance.ControllerTTL))
 	a.mu.Unlock()
 	return a.applyLevels(now, now, levels)
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -42,16 +42,16 @@
 	signals int64
 }
 
-// anyNewerThan reports whether any version in t is newer than in o.
-func (t stateVersions) anyNewerThan(o stateVersions) bool {
-	return t.list > o.list || t.claim > o.claim || t.config > o.config || t.hosts > o.hosts || t.blocks > o.blocks ||
-		t.accounts > o.accounts || t.signals > o.signals
+// anyNewerThan reports whether any version in v is newer than in o.
+func (v stateVersions) anyNewerThan(o stateVersions) bool {
+	return v.list > o.list || v.claim > o.claim || v.config > o.config || v.hosts > o.hosts || v.blocks > o.blocks ||
+		v.accounts > o.accounts || v.signals > o.signals
 }
 
 func newChildren() *children { return &children{byHost: map[string]*child{}} }
 
-// register adds a pull of a child. It supersedes the child's previous pull, which carries older
-// demand.
+// register registers a pull of a child. It supersedes the child's previous pull, which carries
+// older demand.
 func (c *children) register(r fleet.DemandReport) *child {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,11 +70,11 @@
 }
 
 // responded records when a pull was answered and the versions that were sent.
-func (c *children) responded(ch *child, now time.Time, t stateVersions) {
+func (c *children) responded(ch *child, now time.Time, sent stateVersions) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ch.responded = now
-	ch.sent = t
+	ch.sent = sent
 }
 
 // count returns the number of children.
@@ -107,10 +107,10 @@
 // childTTL is how long a child is kept after its last pull.
 const childTTL = 4 * time.Second
 
-// answerPull records the demand of a child and of the hosts behind it, and blocks until
-// something has changed for the child or the next proof that the controller is alive is due. It
+// respondToPull records the demand of a child and of the hosts behind it, blocks until something
+// has changed for the child or the next heartbeat is due, and returns the notice for the child. It
 // returns nil if a newer pull has arrived.
-func (g *Gateway) answerPull(p fleet.Pull) *fleet.Notice {
+func (g *Gateway) respondToPull(p fleet.Pull) *fleet.Notice {
 	now := g.Now()
 	g.recordDemand(now, p)
 	g.mergeCrashes(now, p)
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -22,8 +22,8 @@
 	holderCheckTimeout = 300 * time.Millisecond
 	maxHolderAge       = 700 * time.Millisecond
 	// maxHolderChecks is how many other hosts are asked. While the holder is alive most hosts
-	// hear it, so a small random sample is enough; asking all hosts would open a connection
-	// from each host to every other one at the same time.
+	// receive its heartbeats, so a small random sample is enough; asking all hosts would open a
+	// connection from each host to every other one at the same time.
 	maxHolderChecks = 8
 	// claimDelayPerHost is about how long it takes to append a claim and for others to read it.
 	// maxClaimDelay bounds the random delay before a claim.
@@ -42,7 +42,7 @@
 		if g.election.AwaitingConfirmation() {
 			g.confirmClaim(ctx)
 		}
-		// The host entry must precede the claim: others consider a holder dead if its host has
+		// The host entry must precede the claim: others consider a holder failed if its host has
 		// an entry of another incarnation.
 		if g.stopping.Load() || !g.announced.Load() || !g.election.ShouldClaim(g.Now()) {
 			return
@@ -51,16 +51,16 @@
 	})
 }
 
-// challenge claims, unless another host has a recent heartbeat of its holder. It gives up
-// if a newer claim is seen meanwhile, so that hosts that were delayed do not replace a
-// controller that was just elected.
+// challenge claims, unless another host has a recent heartbeat from the holder of the newest
+// claim. It gives up if a newer claim appears meanwhile, so that a delayed host does not replace
+// a controller that was just elected.
 func (g *Gateway) challenge(ctx context.Context, holderAlive func(context.Context) bool) {
 	challenged := g.election.Newest().Token
-	end := g.mesh.claimsEnd()
+	end := g.mesh.claimsOffset()
 	if !g.election.Vacant() && holderAlive(ctx) {
 		return
 	}
-	wait.For(ctx, g.mesh.claimBackoff()+claimDelay(g.mesh.hosts()))
+	wait.For(ctx, g.mesh.weakHostDelay()+claimDelay(g.mesh.hosts()))
 	if ctx.Err() != nil || g.election.Newest().Token != challenged {
 		return
 	}
@@ -101,8 +101,8 @@
 		}()
 	}
 	for range checks {
-		if s := <-alive; s.ok {
-			g.election.RecordHeartbeat(s.at, holder.Token)
+		if o := <-alive; o.ok {
+			g.election.RecordHeartbeat(o.at, holder.Token)
 			return true
 		}
 	}
@@ -111,8 +111,8 @@
 
 // holderHeartbeatAge returns how long ago another host received a heartbeat of the holder of a
 // claim, and whether that is recent. Hosts that do not know the caller, or that only know an
-// older claim, cannot vouch for this holder; counting them would delay the takeover from a
-// dead holder.
+// older claim, have no information about this holder; counting them would delay the takeover
+// from a failed holder.
 func holderHeartbeatAge(response peer.Response, token int64) (ago time.Duration, ok bool) {
 	if response.Claim == nil || response.Claim.Token < token {
 		return 0, false
@@ -174,7 +174,7 @@
 	for _, e := range batch.Entries {
 		g.applyClaim(e)
 	}
-	g.mesh.setClaimsNext(batch.Next)
+	g.mesh.advanceClaimsOffset(batch.Next)
 	g.election.CaughtUp()
 }
 
@@ -188,7 +188,7 @@
 		if held == 0 {
 			return
 		}
-		if _, err := g.putClaim(ctx, released, g.mesh.claimsEnd()); err == nil {
+		if _, err := g.putClaim(ctx, released, g.mesh.claimsOffset()); err == nil {
 			g.election.Relinquish(held)
 			g.log.Info("claim released", "token", held)
 			return
--- a/pkg/gateway/claim_test.go
+++ b/pkg/gateway/claim_test.go
@@ -25,7 +25,7 @@
 // Guards against repeated changes of the controller: a host that was delayed by checking the
 // holder must not replace a controller elected meanwhile.
 func TestNewerClaimIsNotChallenged(t *testing.T) {
-	dead := orders.Claim{Holder: orders.Holder{Host: "dead", Incarnation: "1"}, Token: 7}
+	failed := orders.Claim{Holder: orders.Holder{Host: "dead", Incarnation: "1"}, Token: 7}
 	newer := orders.Claim{Holder: orders.Holder{Host: "other", Incarnation: "1"}, Token: 8}
 	for _, c := range []struct {
 		name   string
@@ -37,9 +37,9 @@
 		{"another host has a heartbeat of the holder", func(*Gateway) {}, true, nil},
 		{"another host has claimed and the claim was read", func(g *Gateway) {
 			g.election.Observe(g.Now(), newer)
-			g.mesh.setClaimsNext(8)
+			g.mesh.advanceClaimsOffset(8)
 		}, false, nil},
-		{"another host has claimed but the claim was not read: the store refuses this one", func(g *Gateway) { g.mesh.setClaimsNext(8) }, false, []int64{7}},
+		{"another host has claimed but the claim was not read, so the store rejects this one", func(g *Gateway) { g.mesh.advanceClaimsOffset(8) }, false, []int64{7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -48,8 +48,8 @@
 				store := &claimStore{}
 				g.store = store
 				g.election = orders.NewElection(orders.Holder{Host: "b", Incarnation: "1"}, time.Second, 0, g.Now())
-				g.election.Observe(g.Now(), dead)
-				g.mesh.setClaimsNext(7)
+				g.election.Observe(g.Now(), failed)
+				g.mesh.advanceClaimsOffset(7)
 				g.challenge(t.Context(), func(context.Context) bool {
 					c.during(g)
 					return c.alive
--- a/pkg/gateway/config_inner_test.go
+++ b/pkg/gateway/config_inner_test.go
@@ -15,7 +15,7 @@
 	g := relayHost()
 	cert, _, err := peer.SelfSigned(g.Now())
 	is.NoErr(err)
-	node, err := peer.ListenPinned("127.0.0.1:0", cert, g.mesh.trusted, g.handlePeer)
+	node, err := peer.ListenPinned("127.0.0.1:0", cert, g.mesh.isKnown, g.handlePeer)
 	is.NoErr(err)
 	defer func() { is.NoErr(node.Close()) }()
 	g.mesh.node = node
@@ -31,7 +31,7 @@
 	}
 }
 
-// Guards against several copies of the same response competing for a slow link.
+// Guards against several copies of the same response sharing a slow link.
 func TestOneStateRequestPerHostInFlight(t *testing.T) {
 	is := is.New(t)
 	m := newMesh("a", peer.Fingerprint{})
--- a/pkg/gateway/control.go
+++ b/pkg/gateway/control.go
@@ -17,7 +17,7 @@
 	stepRestFactor  = 2
 	// noticeInterval is about the longest interval between two notices to a host.
 	// fullNoticeInterval is the interval between notices that name all endpoints, so that
-	// receivers drop those that are gone.
+	// receivers drop those that were removed.
 	noticeInterval     = 300 * time.Millisecond
 	fullNoticeInterval = 1500 * time.Millisecond
 	// listLinkDivisor is the fraction, as a divisor, of the link's bandwidth that list entries
@@ -94,8 +94,8 @@
 	if since != noOffset && change > since {
 		n.ListEntries = g.fitToLink(g.cache.endpointEntries(g.directory.RoutingChangesSince(since)))
 	}
-	if back := g.directory.StoreRestoredAgo(now); back > 0 {
-		n.StoreRestoredAgo = max(1, back.Milliseconds())
+	if ago := g.directory.StoreRestoredAgo(now); ago > 0 {
+		n.StoreRestoredAgo = max(1, ago.Milliseconds())
 	}
 	return n
 }
@@ -122,8 +122,8 @@
 		link = defaultLinkMbps
 	}
 	const bitsPerByte, mega = 8, 1e6
-	period := link * mega / bitsPerByte * noticeInterval.Seconds()
-	return int(period/listLinkDivisor) / g.mesh.fanOut(g.settings.cores())
+	bytesPerInterval := link * mega / bitsPerByte * noticeInterval.Seconds()
+	return int(bytesPerInterval/listLinkDivisor) / g.mesh.fanOut(g.settings.cores())
 }
 
 // publish applies the controller's notice on this host and wakes the pending pulls of its
@@ -138,7 +138,7 @@
 
 // maintain runs periodic tasks.
 func (g *Gateway) maintain(ctx context.Context) {
-	last, lastQuery := g.Now(), time.Time{}
+	lastPrune, lastQuery := g.Now(), time.Time{}
 	every(ctx, maintenanceInterval, func() {
 		g.dispatcher.DispatchWaiting()
 		now := g.Now()
@@ -149,10 +149,10 @@
 			lastQuery = now
 			go g.fetchState(ctx)
 		}
-		if now.Sub(last) < pruneInterval {
+		if now.Sub(lastPrune) < pruneInterval {
 			return
 		}
-		last = now
+		lastPrune = now
 		g.children.evict(now)
 		g.guard.Prune(now)
 		g.cache.evict(g.directory.Prune(now))
--- a/pkg/gateway/crash_test.go
+++ b/pkg/gateway/crash_test.go
@@ -47,7 +47,7 @@
 	for range 3 {
 		for _, h := range hosts {
 			if got := d.requestWithBody(h, "/chat/", "warm", crashingBody); got.status == http.StatusOK {
-				d.t.Errorf("got status %d for the crashing request", got.status)
+				d.t.Errorf("got status %d for the crashing request, want a refusal", got.status)
 			}
 		}
 	}
@@ -107,8 +107,8 @@
 	}
 }
 
-// Guards against a host that is cut off from the others, but not from the store, letting a
-// crashing request through because each side sees only some of the crashes.
+// Guards against an isolated host that can still read the store letting a crashing request
+// through because each side sees only some of the crashes.
 func TestCrashingRequestIsBlockedOnIsolatedHost(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
@@ -128,7 +128,7 @@
 	d.checkBlocked(endpoints, a, b, c)
 }
 
-// Guards against hosts that are all cut off from each other not combining their crashes through
+// Guards against hosts that are all isolated from each other not combining their crashes through
 // the store, including hosts that see new claims but receive no updates.
 func TestCrashingRequestIsBlockedWhenAllHostsAreIsolated(t *testing.T) {
 	t.Parallel()
--- a/pkg/gateway/crashcopies_test.go
+++ b/pkg/gateway/crashcopies_test.go
@@ -86,7 +86,7 @@
 	for range 3 {
 		for _, got := range d.sendCopies(crashingBody, 2, hosts...) {
 			if got.status == http.StatusOK {
-				t.Errorf("got status %d for the crashing request", got.status)
+				t.Errorf("got status %d for the crashing request, want a refusal", got.status)
 			}
 		}
 	}
--- a/pkg/gateway/crashstore.go
+++ b/pkg/gateway/crashstore.go
@@ -28,8 +28,8 @@
 	// minStoredCrashesIsolated replaces minStoredCrashes on a host that receives no updates.
 	// The store may be its only way to report a crash.
 	minStoredCrashesIsolated = 1
-	// isolationTimeout is the time without updates after which a host considers itself cut off
-	// from the others. A dead controller is replaced within this time.
+	// isolationTimeout is the time without updates after which a host considers itself isolated
+	// from the others. A failed controller is replaced within this time.
 	isolationTimeout = 2 * time.Second
 	// maxRecordsPerWrite bounds the records written in one pass.
 	maxRecordsPerWrite = 4
@@ -132,8 +132,8 @@
 }
 
 // receivesCrashes reports whether this host learns of crashes from another host. Unlike for
-// other topics, a recent claim does not count: a host that is cut off from the others may still
-// read new claims, and must learn of a block within seconds.
+// other topics, a recent claim does not count: an isolated host may still read new claims from the
+// store, and must learn of a block within seconds.
 func (g *Gateway) receivesCrashes() bool {
 	return !g.mesh.isRelay() && g.notices.age(g.Now()) < isolationTimeout || g.expectsUpdates()
 }
@@ -204,8 +204,8 @@
 // crashStoreSchedule decides when a host checks whether the store lacks crash data.
 type crashStoreSchedule struct {
 	crashLog, blocks int64
-	// changed is when crash data last changed, blocksAt when blocks last changed.
-	changed, blocksAt time.Time
+	// changedAt is when crash data last changed, blocksAt when blocks last changed.
+	changedAt, blocksAt time.Time
 }
 
 // update records the current versions and reports whether a check is due.
@@ -214,10 +214,10 @@
 		s.blocksAt = now
 	}
 	if crashLog != s.crashLog || blocks != s.blocks {
-		s.changed = now
+		s.changedAt = now
 	}
 	s.crashLog, s.blocks = crashLog, blocks
-	return now.Sub(s.changed) < crashStoreActivePeriod
+	return now.Sub(s.changedAt) < crashStoreActivePeriod
 }
 
 // removeStaleRecords removes expired records from the store. Failed removals are retried on the
--- a/pkg/gateway/export_test.go
+++ b/pkg/gateway/export_test.go
@@ -71,5 +71,5 @@
 func (g *Gateway) UpdatedDuringStartup() bool {
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
-	return !g.notices.firstResponse.IsZero() && g.notices.firstResponse.Sub(g.started) < startupGracePeriod*4/5
+	return !g.notices.firstResponseAt.IsZero() && g.notices.firstResponseAt.Sub(g.startedAt) < startupGracePeriod*4/5
 }
--- a/pkg/gateway/follow.go
+++ b/pkg/gateway/follow.go
@@ -172,15 +172,16 @@
 // hosts that would replace them, always read the topics themselves, so that updates do not
 // depend on a single host.
 //
-// A recent claim counts as an upcoming update from its holder, but only for a limited time:
-// hosts that are cut off from the others see a series of claims without any update.
+// A recent claim counts as an update, since its holder is about to send one, but only for a limited
+// time: an isolated host reads a series of claims from the store without receiving any update.
 func (g *Gateway) receivesUpdates() bool {
 	now := g.Now()
 	if g.mesh.isRelay() {
 		return false
 	}
-	// A dead controller is replaced, and its successor heard, within twice firstNoticeTimeout.
-	sinceUpdate := min(g.notices.age(now), now.Sub(g.started))
+	// A failed controller is replaced, and the first notice of its successor received, within
+	// twice firstNoticeTimeout.
+	sinceUpdate := min(g.notices.age(now), now.Sub(g.startedAt))
 	return g.notices.recent(now) || sinceUpdate < 2*firstNoticeTimeout && g.mesh.claimSeenRecently(now)
 }
 
@@ -193,7 +194,7 @@
 // them may wrongly appear to be a relay.
 func (g *Gateway) expectsUpdates() bool {
 	now := g.Now()
-	if now.Sub(g.started) > startupGracePeriod {
+	if now.Sub(g.startedAt) > startupGracePeriod {
 		return false
 	}
 	return !g.storeReads.Loaded(fleet.TopicHosts) || !g.mesh.membershipStable(now) || !g.mesh.isRelay()
@@ -314,7 +315,7 @@
 		g.applyHosts(b)
 	}
 	f := g.follower(fleet.TopicHosts, apply, apply)
-	f.BatchDelay = g.hostBatchWindow
+	f.BatchDelay = g.scaledHostBatchDelay
 	// Hosts that start together would find few entries if they read at once, and would have to
 	// read again.
 	wait.For(ctx, hostBatchDelay)
@@ -327,9 +328,9 @@
 	f.Run(ctx)
 }
 
-// hostBatchWindow returns how long host entries are collected before they are read. Relays read
-// them sooner, since they must know a host before they serve its pulls.
-func (g *Gateway) hostBatchWindow() time.Duration {
+// scaledHostBatchDelay returns how long host entries are collected before they are read. Relays
+// read them sooner, since they must know a host before they serve its pulls.
+func (g *Gateway) scaledHostBatchDelay() time.Duration {
 	if g.mesh.isRelay() {
 		return hostBatchDelay
 	}
@@ -360,7 +361,7 @@
 // deferFirstRead delays the first read of a topic while provided reports that other hosts
 // provide its contents, for at most passiveListPollInterval after the start.
 func (g *Gateway) deferFirstRead(ctx context.Context, provided func() bool) {
-	for g.Now().Sub(g.started) < passiveListPollInterval && provided() {
+	for g.Now().Sub(g.startedAt) < passiveListPollInterval && provided() {
 		if !wait.For(ctx, startupCheckInterval) {
 			return
 		}
@@ -374,7 +375,7 @@
 		for _, e := range b.Entries {
 			g.applyClaim(e)
 		}
-		g.mesh.setClaimsNext(b.Next)
+		g.mesh.advanceClaimsOffset(b.Next)
 		g.election.CaughtUp()
 	}
 	g.follower(fleet.TopicClaims, apply, apply).Run(ctx)
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -109,11 +109,11 @@
 	signals replicatedSet[fleet.EndpointSignal]
 	// accounts enforces the rate limits of client accounts.
 	accounts *accounts
-	// reports counts the demand reports. lastStamp is the last controller stamp received, and
-	// started is the origin of this host's own stamps.
-	reports   atomic.Int64
+	// reportSeq is the sequence number of the last demand report. lastStamp is the last
+	// controller stamp received, and startedAt is the origin of this host's own stamps.
+	reportSeq atomic.Int64
 	lastStamp atomic.Pointer[stamp]
-	started   time.Time
+	startedAt time.Time
 	// reportNow triggers a demand report.
 	reportNow chan struct{}
 	// stepNow triggers a step of the controller.
@@ -156,15 +156,15 @@
 		crashCursors:  newCrashCursors(),
 		storedCrashes: newStoredCrashes(),
 	}
-	calls := follow.NewRateLimitedStore(cfg.Store)
-	calls.OnCall = func(t fleet.Topic) { g.metrics.count("store_calls", map[string]string{"topic": t.String()}) }
-	g.store = calls
+	store := follow.NewRateLimitedStore(cfg.Store)
+	store.OnCall = func(t fleet.Topic) { g.metrics.count("store_calls", map[string]string{"topic": t.String()}) }
+	g.store = store
 	g.self = orders.Holder{Host: s.Host, Incarnation: uuid.Must(uuid.NewV7()).String()}
 	g.log = cfg.Logger.With("host", s.Host, "incarnation", g.self.Incarnation)
 	g.locator = fleet.NewLocator(g.directory)
 	g.health.Signals.Changed = g.signalChanged
 	g.endpoints = rateLimitedEndpoints{cfg.NewEndpointClient(g.Now, g.connectionLimit), g.allowCall}
-	g.dispatcher = serve.NewDispatcher(s.Zone, locator{g.locator, g.config.Load}, g.health, g.Now, g.requestReport)
+	g.dispatcher = serve.NewDispatcher(s.Zone, placementLocator{g.locator, g.config.Load}, g.health, g.Now, g.requestReport)
 	g.server = &serve.Server{
 		Backend: g.endpoints,
 		Queue:   g.dispatcher,
@@ -215,7 +215,7 @@
 		return errors.Wrap(err, "create peer key")
 	}
 	g.mesh = newMesh(g.self.Host, fingerprint)
-	node, err := peer.ListenPinned(g.settings.Listen.Peers, cert, g.mesh.trusted, g.handlePeer)
+	node, err := peer.ListenPinned(g.settings.Listen.Peers, cert, g.mesh.isKnown, g.handlePeer)
 	if err != nil {
 		return err
 	}
@@ -251,14 +251,14 @@
 	return max(minConnections, int(float64(limit)*connectionShare)/g.mesh.hosts())
 }
 
-// locator tells the dispatcher where models are placed.
-type locator struct {
+// placementLocator adapts fleet.Locator to serve.Placement.
+type placementLocator struct {
 	locator *fleet.Locator
 	config  func() *fleet.Config
 }
 
 // Find implements serve.Placement.
-func (l locator) Find(now time.Time, n serve.Need) serve.Location {
+func (l placementLocator) Find(now time.Time, n serve.Need) serve.Location {
 	at := l.locator.Locate(now, n.Service, n.Model, n.Adapter)
 	c := l.config()
 	return serve.Location{
@@ -312,7 +312,7 @@
 
 // Run serves until ctx is done, then shuts down gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
-	g.started = g.Now()
+	g.startedAt = g.Now()
 	g.log.Info("host starting", "zone", g.settings.Zone, "callers", g.clientListener.Addr().String(), "peers", g.self.Addr)
 	group, ctx := errgroup.WithContext(ctx)
 	// The loops must outlive the last request.
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -123,7 +123,7 @@
 		select {
 		case <-tick.C:
 		case <-timeout:
-			d.t.Fatal("timed out waiting until " + what)
+			d.t.Fatal("timed out after 20 s waiting until " + what)
 		}
 	}
 }
@@ -319,9 +319,9 @@
 	is.True(time.Since(start) < 4*time.Second)
 }
 
-// Guards against cold models not being loaded after the controller dies. Another host must take
+// Guards against cold models not being loaded after the controller has failed. Another host must take
 // over with a greater token.
-func TestTakeoverAfterControllerDies(t *testing.T) {
+func TestTakeoverAfterControllerFailure(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	d := newDeployment(t)
@@ -353,7 +353,7 @@
 	is.True(!h.IsController())
 }
 
-// Guards against cut streams and refused clients during a graceful shutdown.
+// Guards against interrupted streams and refused requests during a graceful shutdown.
 func TestGracefulShutdownCompletesStreams(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/pkg/gateway/list_inner_test.go
+++ b/pkg/gateway/list_inner_test.go
@@ -9,7 +9,7 @@
 	"github.com/tealvane/tealvane/pkg/peer"
 )
 
-// Guards against a host that receives updates from others keeping the entries of vanished
+// Guards against a host that receives updates from others keeping the entries of terminated
 // endpoints because it does not know that the store has recovered.
 func TestPassiveHostExpiresLapsedEntries(t *testing.T) {
 	is := is.New(t)
@@ -34,9 +34,9 @@
 	}
 	g.applyEndpoints(fleet.Batch{Entries: []fleet.Entry{entry("a", 0, "ready"), entry("b", 1, "ready")}})
 	g.applyEndpoints(fleet.Batch{Entries: []fleet.Entry{entry("a", 2, "ready"), entry("b", 3, "leaving"), entry("b", 4, "leaving")}})
-	is.Equal(g.respondState(peer.StateRequest{EndpointsFrom: 2}).Endpoints, []fleet.Entry{entry("b", 4, "leaving")})
-	is.Equal(len(g.respondState(peer.StateRequest{EndpointsFrom: 4}).Endpoints), 0)
-	is.Equal(len(g.respondState(peer.StateRequest{EndpointsFrom: fullStateOffset}).Endpoints), 2)
+	is.Equal(g.respondToStateRequest(peer.StateRequest{EndpointsFrom: 2}).Endpoints, []fleet.Entry{entry("b", 4, "leaving")})
+	is.Equal(len(g.respondToStateRequest(peer.StateRequest{EndpointsFrom: 4}).Endpoints), 0)
+	is.Equal(len(g.respondToStateRequest(peer.StateRequest{EndpointsFrom: fullStateOffset}).Endpoints), 2)
 }
 
 // Guards against most state requests crossing availability zones, and against none doing so.
--- a/pkg/gateway/list_test.go
+++ b/pkg/gateway/list_test.go
@@ -8,8 +8,8 @@
 	"github.com/tealvane/tealvane/pkg/fleet"
 )
 
-// Guards against confirming a list that lacks changes from a lost notice, which would keep
-// sending requests to an endpoint that has left.
+// Guards against confirming a list that lacks changes from a lost notice: the host would keep
+// sending requests to a draining or removed endpoint.
 func TestListIsConfirmedOnlyWithoutGaps(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/pkg/gateway/listconfirm_test.go
+++ b/pkg/gateway/listconfirm_test.go
@@ -50,7 +50,7 @@
 	g.settings.Timing.Drain = drain
 	g.locator = fleet.NewLocator(g.directory)
 	g.health = serve.NewHealth()
-	g.dispatcher = serve.NewDispatcher("z", locator{g.locator, g.config.Load}, g.health, g.Now, func() {})
+	g.dispatcher = serve.NewDispatcher("z", placementLocator{g.locator, g.config.Load}, g.health, g.Now, func() {})
 	g.initReplicatedSets()
 	return g
 }
@@ -154,7 +154,7 @@
 // check checks that the host uses a list that the controller has used at or after the time of
 // the confirmation. A notice may take up to peerTimeout.
 func (w *listSim) check(t *rapid.T) {
-	confirmed := w.host.mesh.listConfirmed
+	confirmed := w.host.mesh.listConfirmedAt
 	if confirmed.IsZero() {
 		return
 	}
@@ -183,7 +183,7 @@
 		entries  int
 		mustRead bool
 	}{
-		{"one endpoint leaves", 10, 1, 1, false},
+		{"one entry changes", 10, 1, 1, false},
 		{"all entries change, slow link", 10, 90, 0, true},
 		{"all entries change, bandwidth not configured", 0, 90, 0, true},
 		{"all entries change, fast link", 1000, 90, 90, false},
--- a/pkg/gateway/listrace_test.go
+++ b/pkg/gateway/listrace_test.go
@@ -19,7 +19,7 @@
 	first := fleet.Batch{Entries: []fleet.Entry{{Key: "first", Value: []byte("ready")}}}
 	relay.applyEndpoints(first)
 	host.applyEndpoints(first) // A host without a list reads the store itself.
-	ask := func() {
+	pull := func() {
 		n := relay.withListChanges(relay.Now(), fleet.Notice{}, host.directory.Offset()-1, relay.directory.RoutingOffset())
 		host.applyListNotice(host.Now(), n)
 	}
@@ -31,8 +31,8 @@
 		for beat := range beats {
 			var b fleet.Batch
 			for e := range endpoints {
-				// Each endpoint writes a heartbeat. Now and then one leaves and another
-				// replaces it.
+				// Each endpoint writes a heartbeat. From time to time one drains and is
+				// replaced by another.
 				name := "e" + strconv.Itoa(e) + "-" + strconv.Itoa((beat+e*7)/40)
 				state := "ready"
 				if (beat+e*7)%40 > 30 {
@@ -49,12 +49,12 @@
 		case <-read:
 			open = false
 		default:
-			ask()
+			pull()
 		}
 	}
 	done.Wait()
 	relay.storeReads.RecordResult(fleet.TopicEndpoints, relay.Now(), nil)
-	ask()
+	pull()
 	is.True(host.listConfirmed())
 	is.Equal(usableEndpoints(host, host.Now()), usableEndpoints(relay, relay.Now()))
 }
--- a/pkg/gateway/mesh.go
+++ b/pkg/gateway/mesh.go
@@ -15,7 +15,7 @@
 	// peerTimeout bounds a request to another host.
 	peerTimeout = 600 * time.Millisecond
 	// maxListAge is the age of the list of endpoints after which a peer is asked for it. Reads
-	// of the store may hang, and an endpoint that leaves must soon receive no more requests.
+	// of the store may hang, and a draining endpoint must soon receive no more requests.
 	maxListAge = 1100 * time.Millisecond
 	// firstNoticeTimeout is how long a new controller may take to reach all hosts. After a
 	// start, relays first read the entries of all hosts.
@@ -34,9 +34,11 @@
 	fingerprint peer.Fingerprint
 	node        *peer.Node
 
-	mu         sync.Mutex
-	peers      map[string]hostEntry
-	pinned     map[peer.Fingerprint]bool
+	mu    sync.Mutex
+	peers map[string]hostEntry
+	// known holds the certificates of the other hosts.
+	known map[peer.Fingerprint]bool
+	// claimsNext is the offset up to which claims were read.
 	claimsNext int64
 	// backoffUntil is the time, by address, until which a host is not contacted.
 	backoffUntil map[string]time.Time
@@ -51,21 +53,21 @@
 	// the addresses with a request in flight.
 	lastStateRequest     time.Time
 	pendingStateRequests map[string]bool
-	// claimSeen is when the newest claim was first seen.
-	claimSeen time.Time
-	// peersChanged is when the entry of another host was last added or changed.
-	peersChanged time.Time
-	// listConfirmed is the time as of which the controller has last confirmed that this host's
+	// claimSeenAt is when the newest claim was first seen.
+	claimSeenAt time.Time
+	// peersChangedAt is when the entry of another host was last added or changed.
+	peersChangedAt time.Time
+	// listConfirmedAt is the time up to which, by the controller's last confirmation, this host's
 	// list of endpoints is complete.
-	listConfirmed time.Time
+	listConfirmedAt time.Time
 }
 
 // confirmList records that this host's list of endpoints is complete as of a time.
 func (m *mesh) confirmList(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if at.After(m.listConfirmed) {
-		m.listConfirmed = at
+	if at.After(m.listConfirmedAt) {
+		m.listConfirmedAt = at
 	}
 }
 
@@ -74,7 +76,7 @@
 func (m *mesh) confirmedListAge(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Sub(m.listConfirmed)
+	return now.Sub(m.listConfirmedAt)
 }
 
 func newMesh(self string, own peer.Fingerprint) *mesh {
@@ -82,7 +84,7 @@
 		self:                 self,
 		fingerprint:          own,
 		peers:                map[string]hostEntry{},
-		pinned:               map[peer.Fingerprint]bool{},
+		known:                map[peer.Fingerprint]bool{},
 		backoffUntil:         map[string]time.Time{},
 		failures:             map[string]int{},
 		pendingStateRequests: map[string]bool{},
@@ -92,11 +94,11 @@
 
 func (m *mesh) serve(ctx context.Context) { m.node.Serve(ctx) }
 
-// trusted reports whether a key belongs to a known host.
-func (m *mesh) trusted(f peer.Fingerprint) bool {
+// isKnown reports whether a certificate belongs to a known host.
+func (m *mesh) isKnown(f peer.Fingerprint) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.pinned[f]
+	return m.known[f]
 }
 
 // updatePeer adds or updates the entry of a host. A restarted host has a new key, so
@@ -109,10 +111,10 @@
 	defer m.mu.Unlock()
 	old, ok := m.peers[host]
 	if !ok || old.Fingerprint != e.Fingerprint {
-		m.peersChanged = time.Now()
+		m.peersChangedAt = time.Now()
 	}
 	if ok && old.Fingerprint != e.Fingerprint {
-		delete(m.pinned, old.Fingerprint)
+		delete(m.known, old.Fingerprint)
 		m.node.RemoveConn(old.Addr)
 	}
 	m.peers[host] = e
@@ -120,7 +122,7 @@
 	m.relayRole = nil
 	delete(m.backoffUntil, e.Addr)
 	delete(m.failures, e.Addr)
-	m.pinned[e.Fingerprint] = true
+	m.known[e.Fingerprint] = true
 }
 
 // membershipStable reports whether no entry of another host was added or changed within
@@ -128,7 +130,7 @@
 func (m *mesh) membershipStable(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Sub(m.peersChanged) >= hostBatchDelay
+	return now.Sub(m.peersChangedAt) >= hostBatchDelay
 }
 
 // hosts returns the number of known hosts, including this one.
@@ -140,16 +142,16 @@
 
 // addrs returns the addresses of all other hosts.
 func (m *mesh) addrs() []string {
-	return slices.Collect(maps.Values(m.addresses()))
+	return slices.Collect(maps.Values(m.addrsByName()))
 }
 
 // names returns the names of all other hosts.
 func (m *mesh) names() []string {
-	return slices.Collect(maps.Keys(m.addresses()))
+	return slices.Collect(maps.Keys(m.addrsByName()))
 }
 
-// addresses returns the addresses of all other hosts by name.
-func (m *mesh) addresses() map[string]string {
+// addrsByName returns the addresses of all other hosts by name.
+func (m *mesh) addrsByName() map[string]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make(map[string]string, len(m.peers))
@@ -159,7 +161,7 @@
 	return out
 }
 
-func (m *mesh) setClaimsNext(next int64) {
+func (m *mesh) advanceClaimsOffset(next int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.claimsNext = max(m.claimsNext, next)
@@ -169,7 +171,7 @@
 func (m *mesh) recordClaim(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.claimSeen = now
+	m.claimSeenAt = now
 }
 
 // claimSeenRecently reports whether the newest claim is so recent that its holder may not have
@@ -177,12 +179,13 @@
 func (m *mesh) claimSeenRecently(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now.Sub(m.claimSeen) < firstNoticeTimeout
+	return now.Sub(m.claimSeenAt) < firstNoticeTimeout
 }
 
-// claimBackoff returns an additional delay before a claim for hosts with less than half the CPU
-// capacity of the strongest, since the controller's decisions need CPU time and memory.
-func (m *mesh) claimBackoff() time.Duration {
+// weakHostDelay returns the additional delay before a claim of this host. It is 0 unless the host
+// has less than half the CPU capacity of the strongest one, since the controller's decisions need
+// CPU time and memory.
+func (m *mesh) weakHostDelay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	strongest := 0.0
@@ -195,8 +198,8 @@
 	return weakHostClaimDelay
 }
 
-// claimsEnd returns the offset up to which claims were read.
-func (m *mesh) claimsEnd() int64 {
+// claimsOffset returns the offset up to which claims were read.
+func (m *mesh) claimsOffset() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.claimsNext
--- a/pkg/gateway/noticetracker.go
+++ b/pkg/gateway/noticetracker.go
@@ -17,10 +17,10 @@
 	// demandSentTo is the host that last received this host's full demand, demandSentAt when.
 	demandSentTo string
 	demandSentAt time.Time
-	// lastResponse is when an upstream host with recent contact to the controller last
-	// responded, firstResponse when one first did.
-	lastResponse  time.Time
-	firstResponse time.Time
+	// lastResponseAt is when an upstream host with recent contact to the controller last
+	// responded, firstResponseAt when one first did.
+	lastResponseAt  time.Time
+	firstResponseAt time.Time
 }
 
 // noticeTTL is how long after a response this host counts as up to date. It is a multiple of
@@ -34,16 +34,16 @@
 func (t *noticeTracker) age(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return now.Sub(t.lastResponse)
+	return now.Sub(t.lastResponseAt)
 }
 
 // recordResponse records that an upstream host has responded.
 func (t *noticeTracker) recordResponse(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lastResponse = now
-	if t.firstResponse.IsZero() {
-		t.firstResponse = now
+	t.lastResponseAt = now
+	if t.firstResponseAt.IsZero() {
+		t.firstResponseAt = now
 	}
 }
 
--- a/pkg/gateway/orders_test.go
+++ b/pkg/gateway/orders_test.go
@@ -10,7 +10,7 @@
 	"github.com/tealvane/tealvane/internal/standin/site"
 )
 
-// Guards against two controllers at once: one that is cut off from its peers must step down
+// Guards against two controllers at once: one that is isolated from its peers must step down
 // when it reads a newer claim. Both hosts keep serving loaded models.
 func TestIsolatedControllerStepsDown(t *testing.T) {
 	t.Parallel()
@@ -57,9 +57,9 @@
 	}
 }
 
-// Guards against orders being paused during a store outage although all hosts hear the
-// controller, so that none of them can claim.
-func TestOrdersContinueWhileAllHostsHearController(t *testing.T) {
+// Guards against orders being paused during a store outage although all hosts receive
+// the controller's heartbeats, so that none of them can claim.
+func TestOrdersContinueWhileAllHostsReceiveHeartbeats(t *testing.T) {
 	t.Parallel()
 	for _, all := range []bool{false, true} {
 		t.Run(map[bool]string{true: "no host can read the store", false: "only the controller cannot read the store"}[all], func(t *testing.T) {
--- a/pkg/gateway/peerhandler.go
+++ b/pkg/gateway/peerhandler.go
@@ -18,18 +18,18 @@
 		// The store has rejected this host, so its entry was never written. It may read the
 		// shared state, but nothing that it reports is used.
 		if r.State != nil {
-			response.State = g.respondState(*r.State)
+			response.State = g.respondToStateRequest(*r.State)
 		}
 		return []peer.Response{response}
 	}
 	switch {
 	case r.Pull != nil:
 		g.fetchNewerConfig(r.Pull.Demand.Addr, r.Pull.Demand.ConfigVersion)
-		response.Notice = g.answerPull(*r.Pull)
+		response.Notice = g.respondToPull(*r.Pull)
 		now = g.Now()
 		response.ConfigVersion = g.configVersion()
 	case r.State != nil:
-		response.State = g.respondState(*r.State)
+		response.State = g.respondToStateRequest(*r.State)
 	}
 	claim := g.election.Newest()
 	response.Claim = &claim
@@ -85,7 +85,7 @@
 
 // applyListNotice applies the changes to the list of endpoints in a notice. The notice does not
 // repeat changes from earlier, lost notices: a host that is missing earlier changes reads the
-// store instead, so that it does not keep sending requests to an endpoint that has left.
+// store instead, so that it does not keep sending requests to a draining or removed endpoint.
 func (g *Gateway) applyListNotice(now time.Time, n fleet.Notice) {
 	if n.StoreRestoredAgo > 0 {
 		g.directory.SetStoreRestored(now.Add(-milliseconds(n.StoreRestoredAgo)))
--- a/pkg/gateway/peerselect.go
+++ b/pkg/gateway/peerselect.go
@@ -76,7 +76,7 @@
 }
 
 // markUnavailable records that a host responded but cannot help, because it does not know this
-// host yet or is cut off itself. Both are short-lived, so the backoff does not grow: otherwise,
+// host yet or is isolated itself. Both are short-lived, so the backoff does not grow: otherwise,
 // after a restart of all hosts, most would avoid their relays and overload the controller.
 func (m *mesh) markUnavailable(now time.Time, addr string) {
 	m.mu.Lock()
--- a/pkg/gateway/pull.go
+++ b/pkg/gateway/pull.go
@@ -29,7 +29,7 @@
 	// pullTimeout bounds a pull, which the upstream host holds for up to relay.MaxPullHold.
 	pullTimeout = relay.MaxPullHold + 250*time.Millisecond
 	// maxNoticeAge is the age of an upstream host's last contact with the controller after
-	// which the host counts as cut off and the next one is used.
+	// which the host counts as isolated and the next one is used.
 	maxNoticeAge = 900 * time.Millisecond
 )
 
@@ -162,7 +162,7 @@
 	}
 	if response.Claim.Token > g.election.Newest().Token {
 		g.election.Observe(now, *response.Claim)
-		g.mesh.setClaimsNext(response.Claim.Token) // It is the last one of the topic.
+		g.mesh.advanceClaimsOffset(response.Claim.Token) // It is the last one of the topic.
 		g.children.wake()
 	}
 	g.fetchNewerConfig(to.Addr, response.ConfigVersion)
@@ -194,7 +194,7 @@
 		return fleet.DemandReport{
 			Host:          g.self.Host,
 			Incarnation:   g.self.Incarnation,
-			Seq:           g.reports.Add(1),
+			Seq:           g.reportSeq.Add(1),
 			ConfigVersion: g.configVersion(),
 			Addr:          g.self.Addr,
 			Unchanged:     true,
@@ -229,7 +229,7 @@
 	demandReport := fleet.DemandReport{
 		Host:             g.self.Host,
 		Incarnation:      g.self.Incarnation,
-		Seq:              g.reports.Add(1),
+		Seq:              g.reportSeq.Add(1),
 		ConfigVersion:    g.configVersion(),
 		Addr:             g.self.Addr,
 		Unreachable:      g.health.AllUnreachable(now),
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -93,7 +93,7 @@
 func (c *crashCursors) acknowledge(addr, source string, next int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m, ok := c.byAddr[addr]; ok && m.source != source {
+	if cursor, ok := c.byAddr[addr]; ok && cursor.source != source {
 		next = 0
 	}
 	c.byAddr[addr] = crashCursor{source: source, next: next}
--- a/pkg/gateway/quarantine_test.go
+++ b/pkg/gateway/quarantine_test.go
@@ -27,8 +27,8 @@
 	crashesSent []int
 }
 
-// newRelayTree returns a tree of a controller, relays and hosts behind the relays.
-func newRelayTree(relays, behind int) *relayTree {
+// newRelayTree returns a tree of a controller, relays and leaves that pull from the relays.
+func newRelayTree(relays, leaves int) *relayTree {
 	t := &relayTree{now: time.Unix(1000, 0)}
 	add := func(upstream int) {
 		g := relayHost()
@@ -41,7 +41,7 @@
 	for range relays {
 		add(0)
 	}
-	for i := range behind {
+	for i := range leaves {
 		add(1 + i%relays)
 	}
 	return t
@@ -81,7 +81,7 @@
 	return []fleet.CrashReport{{Request: fleet.Fingerprint{Content: 1, Caller: 2}, Endpoint: fleet.EndpointID(endpoint)}}
 }
 
-// Guards against hosts not learning of a block after lost messages, a dead relay or a restarted
+// Guards against hosts not learning of a block after lost messages, a failed relay or a restarted
 // controller, and against sending the same crashes repeatedly.
 func TestAllHostsLearnOfBlock(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -116,7 +116,7 @@
 		}
 		for i, g := range tree.hosts {
 			if !g.guard.Blocked(fleet.Fingerprint{Content: 1, Caller: 2}) {
-				t.Fatalf("host %d does not know of the block", i)
+				t.Fatalf("host %d of %d does not know of the block", i, len(tree.hosts))
 			}
 		}
 		before := slices.Clone(tree.crashesSent)
@@ -171,14 +171,14 @@
 // Guards against expired crash records staying in the store forever.
 func TestExpiredRecordsAreRemoved(t *testing.T) {
 	is := is.New(t)
-	k := newStoredCrashes()
+	stored := newStoredCrashes()
 	now := time.Unix(10_000, 0)
-	k.set(1, crashRecord{Written: now.Add(-quarantine.BlockTTL - time.Second).UnixMilli()})
-	k.set(2, crashRecord{Written: now.UnixMilli()})
-	k.prune(now)
-	is.Equal(k.drainStale(), []string{"1"})
-	is.Equal(len(k.drainStale()), 0)
-	is.Equal(len(k.byContent), 1)
+	stored.set(1, crashRecord{Written: now.Add(-quarantine.BlockTTL - time.Second).UnixMilli()})
+	stored.set(2, crashRecord{Written: now.UnixMilli()})
+	stored.prune(now)
+	is.Equal(stored.drainStale(), []string{"1"})
+	is.Equal(len(stored.drainStale()), 0)
+	is.Equal(len(stored.byContent), 1)
 }
 
 // Guards against a new controller removing a record that was renewed after it had been marked
@@ -204,7 +204,7 @@
 
 // Guards against hosts other than the controller deciding blocks while they receive updates,
 // and against an isolated host never deciding.
-func TestWhichHostDecidesBlocks(t *testing.T) {
+func TestOnlyControllerOrIsolatedHostDecidesBlocks(t *testing.T) {
 	is := is.New(t)
 	g := relayHost()
 	start := g.Now()
--- a/pkg/gateway/relay_test.go
+++ b/pkg/gateway/relay_test.go
@@ -20,7 +20,7 @@
 	g := listHost(time.Minute)
 	g.self = orders.Holder{Host: "relay", Incarnation: "relay-1"}
 	g.demandAggregator = relay.NewAggregator()
-	g.started = g.Now()
+	g.startedAt = g.Now()
 	g.reportNow = make(chan struct{}, 1)
 	g.accounts = newAccounts(allowance.Tolerance{}, g.requestReport, g.Now)
 	g.election = orders.NewElection(g.self, time.Second, 0, g.Now())
@@ -67,7 +67,7 @@
 				start := time.Now()
 				done := make(chan time.Duration)
 				go func() {
-					g.answerPull(p)
+					g.respondToPull(p)
 					done <- time.Since(start)
 				}()
 				time.Sleep(100 * time.Millisecond)
@@ -89,16 +89,16 @@
 		g.locator.ApplyNotice(g.Now(), noticeWithModel("old"))
 		g.children.responded(g.children.register(fleet.DemandReport{Host: "h"}), g.Now(), g.currentVersions())
 		previous := make(chan *fleet.Notice)
-		go func() { previous <- g.answerPull(pullFrom("h", 1, "")) }()
+		go func() { previous <- g.respondToPull(pullFrom("h", 1, "")) }()
 		synctest.Wait()
 		newer := make(chan *fleet.Notice)
-		go func() { newer <- g.answerPull(pullFrom("h", 2, "m")) }()
+		go func() { newer <- g.respondToPull(pullFrom("h", 2, "m")) }()
 		is.Equal(<-previous, nil)
 		is.True(<-newer != nil)
 	})
 }
 
-// Guards against repeated timeouts with a dead relay, and against not returning to it after its
+// Guards against repeated timeouts with a failed relay, and against not returning to it after its
 // restart.
 func TestUnreachableRelayIsSkipped(t *testing.T) {
 	is := is.New(t)
@@ -220,11 +220,11 @@
 	is := is.New(t)
 	m := newMesh("self", peer.Fingerprint{})
 	m.member = relay.Member{Name: "self", Cores: 0.2}
-	is.Equal(m.claimBackoff(), time.Duration(0)) // no stronger host is known
+	is.Equal(m.weakHostDelay(), time.Duration(0)) // no stronger host is known
 	m.updatePeer("strong", hostEntry{Addr: "s", Cores: 0.8})
-	is.Equal(m.claimBackoff(), weakHostClaimDelay)
+	is.Equal(m.weakHostDelay(), weakHostClaimDelay)
 	m.member.Cores = 0.8
-	is.Equal(m.claimBackoff(), time.Duration(0))
+	is.Equal(m.weakHostDelay(), time.Duration(0))
 }
 
 // Guards against an isolated host taking a series of claims for updates and not reading any
--- a/pkg/gateway/serving.go
+++ b/pkg/gateway/serving.go
@@ -56,9 +56,9 @@
 	return serve.Admission{Route: r, Service: r.Choose(rand.IntN), Account: account}, nil
 }
 
-// accountError returns the error for a request whose key belongs to no known account. A host
-// that is cut off may lack the configuration with that key, and clients do not retry after a
-// denial, so it reports that it has no configuration.
+// accountError returns the error for a request whose key belongs to no known account. An
+// isolated host may lack the configuration with that key, and clients do not retry after a denial,
+// so it reports that it has no configuration.
 func (g *Gateway) accountError() error {
 	if g.listViewAge(g.Now()) > maxListAge {
 		return serve.ErrNoConfig
--- a/pkg/gateway/signals_test.go
+++ b/pkg/gateway/signals_test.go
@@ -44,7 +44,7 @@
 	d.waitForPeers(all...)
 	const perHost, rate = 10, 3
 	limited.SetRateLimitHeader("3.0")
-	stated := time.Now()
+	reportedAt := time.Now()
 	tick := time.NewTicker(time.Second / perHost)
 	defer tick.Stop()
 	for range 8 * perHost {
@@ -54,7 +54,7 @@
 		}
 	}
 	allowed := int(1.5*rate*rateWindow.Seconds()) + 5
-	if n := maxArrivals(limited.Arrivals(), rateWindow, stated.Add(rateSettle)); n > allowed {
+	if n := maxArrivals(limited.Arrivals(), rateWindow, reportedAt.Add(rateSettle)); n > allowed {
 		t.Errorf("%d requests in %v, want at most %d", n, rateWindow, allowed)
 	}
 }
--- a/pkg/gateway/stamp.go
+++ b/pkg/gateway/stamp.go
@@ -15,7 +15,7 @@
 // holder, otherwise the last one received. It returns 0 if there is none.
 func (g *Gateway) stampFor(now time.Time, token int64) int64 {
 	if held := g.election.HeldToken(); held != 0 && held == token {
-		return now.Sub(g.started).Milliseconds()
+		return now.Sub(g.startedAt).Milliseconds()
 	}
 	return g.stampOf(token)
 }
@@ -30,4 +30,4 @@
 }
 
 // stampTime returns the time of one of this host's own stamps.
-func (g *Gateway) stampTime(at int64) time.Time { return g.started.Add(milliseconds(at)) }
+func (g *Gateway) stampTime(at int64) time.Time { return g.startedAt.Add(milliseconds(at)) }
--- a/pkg/gateway/stamp_test.go
+++ b/pkg/gateway/stamp_test.go
@@ -10,8 +10,8 @@
 	"github.com/tealvane/tealvane/pkg/orders"
 )
 
-// Guards against a relay vouching for a host without a recent heartbeat of the controller, which
-// would let two hosts issue orders alternately.
+// Guards against extending the lease by the response of a relay whose child has no recent
+// heartbeat of the controller, which would let two hosts issue orders alternately.
 func TestLeaseThroughRelayUsesControllerClock(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/pkg/gateway/staterequest.go
+++ b/pkg/gateway/staterequest.go
@@ -10,8 +10,8 @@
 	"github.com/tealvane/tealvane/pkg/peer"
 )
 
-// respondState answers a state request of a host that cannot read the store.
-func (g *Gateway) respondState(r peer.StateRequest) *peer.StateResponse {
+// respondToStateRequest responds to a host that cannot read the store.
+func (g *Gateway) respondToStateRequest(r peer.StateRequest) *peer.StateResponse {
 	g.listMu.Lock()
 	defer g.listMu.Unlock()
 	g.cache.mu.Lock()
@@ -26,9 +26,9 @@
 }
 
 // endpointEntriesFrom returns the list entries that changed at or after an offset, or all
-// entries. It must be called with the cache's mu held. Heartbeats are left out, since a host
-// that knows the endpoint does not need them and all hosts send state requests while the
-// controller changes.
+// entries. It must be called with the cache's mu held. Entries that are mere heartbeats
+// are left out to limit the size: a host that has the endpoint does not need them, and all hosts
+// send state requests while the controller changes.
 func (g *Gateway) endpointEntriesFrom(from int64) []fleet.Entry {
 	var out []fleet.Entry
 	if from == fullStateOffset {
@@ -45,7 +45,8 @@
 // minStateRequestInterval is the minimum interval between two state requests.
 const minStateRequestInterval = 150 * time.Millisecond
 
-// fetchState requests, from some other host, state that this host cannot read from the store.
+// fetchState requests the state that this host cannot read from the store from a random other
+// host.
 func (g *Gateway) fetchState(ctx context.Context) {
 	if addr := g.mesh.pickPeer(g.Now()); addr != "" {
 		g.fetchStateFrom(ctx, addr)
