--- a/pkg/gateway/account_test.go
+++ b/pkg/gateway/account_test.go
@@ -63,7 +63,7 @@
 }
 
 // Guards against a host without current configuration permanently denying a key that it may
-// just not know yet.
+// not have received yet.
 func TestIsolatedHostDoesNotDenyUnknownKeys(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/pkg/gateway/children.go
+++ b/pkg/gateway/children.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// hasUnplacedDemand reports whether requests wait for a model that, as far as this host knows,
-// no endpoint holds or is loading. Such demand is reported to the controller immediately.
+// hasUnplacedDemand reports whether requests wait for a model that no endpoint known to this host
+// holds or is loading. Such demand is reported to the controller immediately.
 func (g *Gateway) hasUnplacedDemand(r fleet.DemandReport) bool {
 	now := g.Now()
 	for _, n := range r.Needs {
--- a/pkg/gateway/crashstore.go
+++ b/pkg/gateway/crashstore.go
@@ -132,8 +132,8 @@
 }
 
 // receivesCrashes reports whether this host learns of crashes from another host. Unlike for
-// other topics, a recent claim does not count: an isolated host may still read new claims from the
-// store, and must learn of a block within seconds.
+// other topics, a recent claim does not count: an isolated host may still read new claims from
+// the store, and must learn of a block within seconds.
 func (g *Gateway) receivesCrashes() bool {
 	return !g.mesh.isRelay() && g.notices.age(g.Now()) < isolationTimeout || g.expectsUpdates()
 }
--- a/pkg/gateway/follow.go
+++ b/pkg/gateway/follow.go
@@ -15,7 +15,7 @@
 
 const (
 	// longPollTimeout is how long a read waits for new records of topics that rarely change. A
-	// read whose connection has failed silently is abandoned after this time.
+	// read on a connection that was lost without an error is abandoned after this time.
 	longPollTimeout = 15 * time.Second
 	// maxListPollInterval is the longest interval between reads of the list of endpoints,
 	// unless the controller confirms it.
@@ -172,8 +172,9 @@
 // hosts that would replace them, always read the topics themselves, so that updates do not
 // depend on a single host.
 //
-// A recent claim counts as an update, since its holder is about to send one, but only for a limited
-// time: an isolated host reads a series of claims from the store without receiving any update.
+// A recent claim counts as an update, since its holder is about to send one, but only for a
+// limited time: an isolated host reads a series of claims from the store without receiving any
+// update.
 func (g *Gateway) receivesUpdates() bool {
 	now := g.Now()
 	if g.mesh.isRelay() {
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -319,8 +319,8 @@
 	is.True(time.Since(start) < 4*time.Second)
 }
 
-// Guards against cold models not being loaded after the controller has failed. Another host must take
-// over with a greater token.
+// Guards against cold models not being loaded after the controller has failed. Another host
+// must take over with a greater token.
 func TestTakeoverAfterControllerFailure(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/pkg/gateway/list_inner_test.go
+++ b/pkg/gateway/list_inner_test.go
@@ -24,8 +24,7 @@
 	is.Equal(len(g.directory.Live(at(0.5))), 0)
 }
 
-// Guards against sending entries with mere heartbeats in state responses, which would waste
-// bandwidth.
+// Guards against state responses that carry heartbeats, which would waste bandwidth.
 func TestStateResponseOmitsHeartbeats(t *testing.T) {
 	is := is.New(t)
 	g := listHost(time.Minute)
--- a/pkg/gateway/mesh.go
+++ b/pkg/gateway/mesh.go
@@ -36,7 +36,7 @@
 
 	mu    sync.Mutex
 	peers map[string]hostEntry
-	// known holds the certificates of the other hosts.
+	// known holds the certificate fingerprints of the other hosts.
 	known map[peer.Fingerprint]bool
 	// claimsNext is the offset up to which claims were read.
 	claimsNext int64
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -39,7 +39,7 @@
 }
 
 // updateBlocks decides which requests to block. The controller decides, since it receives all
-// crashes; a host that receives no updates decides by what it knows.
+// crashes; a host that receives no updates decides from its own data.
 func (g *Gateway) updateBlocks(now time.Time) {
 	g.guard.UpdateTrials(now)
 	isController := g.election.HeldToken() != 0
--- a/pkg/gateway/staterequest.go
+++ b/pkg/gateway/staterequest.go
@@ -26,7 +26,7 @@
 }
 
 // endpointEntriesFrom returns the list entries that changed at or after an offset, or all
-// entries. It must be called with the cache's mu held. Entries that are mere heartbeats
+// entries. It must be called with the cache's mu held. Heartbeats of listed endpoints
 // are left out to limit the size: a host that has the endpoint does not need them, and all hosts
 // send state requests while the controller changes.
 func (g *Gateway) endpointEntriesFrom(from int64) []fleet.Entry {
