--- a/pkg/gateway/list_inner_test.go
+++ b/pkg/gateway/list_inner_test.go
@@ -9,7 +9,7 @@
 	"github.com/tealvane/tealvane/pkg/peer"
 )
 
-// Guards against a host that receives updates from others keeping the entries of vanished
+// Guards against a host that receives updates from others keeping the entries of terminated
 // endpoints because it does not know that the store has recovered.
 func TestPassiveHostExpiresLapsedEntries(t *testing.T) {
 	is := is.New(t)
@@ -24,8 +24,7 @@
 	is.Equal(len(g.directory.Live(at(0.5))), 0)
 }
 
-// Guards against sending entries with mere heartbeats in state responses, which would waste
-// bandwidth.
+// Guards against state responses that carry heartbeats, which would waste bandwidth.
 func TestStateResponseOmitsHeartbeats(t *testing.T) {
 	is := is.New(t)
 	g := listHost(time.Minute)
@@ -34,9 +33,9 @@
 	}
 	g.applyEndpoints(fleet.Batch{Entries: []fleet.Entry{entry("a", 0, "ready"), entry("b", 1, "ready")}})
 	g.applyEndpoints(fleet.Batch{Entries: []fleet.Entry{entry("a", 2, "ready"), entry("b", 3, "leaving"), entry("b", 4, "leaving")}})
-	is.Equal(g.respondState(peer.StateRequest{EndpointsFrom: 2}).Endpoints, []fleet.Entry{entry("b", 4, "leaving")})
-	is.Equal(len(g.respondState(peer.StateRequest{EndpointsFrom: 4}).Endpoints), 0)
-	is.Equal(len(g.respondState(peer.StateRequest{EndpointsFrom: fullStateOffset}).Endpoints), 2)
+	is.Equal(g.respondToStateRequest(peer.StateRequest{EndpointsFrom: 2}).Endpoints, []fleet.Entry{entry("b", 4, "leaving")})
+	is.Equal(len(g.respondToStateRequest(peer.StateRequest{EndpointsFrom: 4}).Endpoints), 0)
+	is.Equal(len(g.respondToStateRequest(peer.StateRequest{EndpointsFrom: fullStateOffset}).Endpoints), 2)
 }
 
 // Guards against most state requests crossing availability zones, and against none doing so.
--- a/pkg/gateway/quarantine.go
+++ b/pkg/gateway/quarantine.go
@@ -39,7 +39,7 @@
 }
 
 // updateBlocks decides which requests to block. The controller decides, since it receives all
-// crashes; a host that receives no updates decides by what it knows.
+// crashes; a host that receives no updates decides from its own data.
 func (g *Gateway) updateBlocks(now time.Time) {
 	g.guard.UpdateTrials(now)
 	isController := g.election.HeldToken() != 0
@@ -93,7 +93,7 @@
 func (c *crashCursors) acknowledge(addr, source string, next int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m, ok := c.byAddr[addr]; ok && m.source != source {
+	if cursor, ok := c.byAddr[addr]; ok && cursor.source != source {
 		next = 0
 	}
 	c.byAddr[addr] = crashCursor{source: source, next: next}
