--- a/internal/cli/contract.go
+++ b/internal/cli/contract.go
@@ -113,7 +113,7 @@
 }
 
 func (*publishCommand) Name() string     { return "publish" }
-func (*publishCommand) Synopsis() string { return "publish a contract on top of a version" }
+func (*publishCommand) Synopsis() string { return "publish a new version of a contract" }
 func (*publishCommand) Usage() string {
 	return "publish -base VERSION [-operators URL] FILE\n\nVERSION is the version that the change was made from, 0 for a first contract.\n"
 }
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -35,8 +35,8 @@
 // Usage implements subcommands.Command.
 func (*experimentCommand) Usage() string {
 	return "experiment -scenario FILE [-seeds N] [-with SETTING=VALUE ...] [-json]\n" +
-		"Plays the scenario on the same seeds with the policy in use, with a plain baseline, and\n" +
-		"once for each -with: " + strings.Join(settingNames(), ", ") + ".\n"
+		"Runs the scenario on the same seeds with the current policy, with the baseline policy, and\n" +
+		"once for each -with setting: " + strings.Join(settingNames(), ", ") + ".\n"
 }
 
 // SetFlags implements subcommands.Command.
--- a/pkg/emulator/scenario.go
+++ b/pkg/emulator/scenario.go
@@ -142,9 +142,9 @@
 		at := fmt.Sprintf("events[%d].", i)
 		switch {
 		case e.Kind != Burst && e.Kind != Lose && e.Kind != Replace:
-			doc.Add(at+"kind", "is burst, lose or replace")
+			doc.Add(at+"kind", "must be burst, lose or replace")
 		case e.Kind == Burst && !names[e.Class]:
-			doc.Add(at+"class", "names no class")
+			doc.Add(at+"class", "must be the name of a class")
 		case e.Kind != Burst && e.Count <= 0:
 			doc.Add(at+"count", "must be positive")
 		}
--- a/pkg/fleet/account.go
+++ b/pkg/fleet/account.go
@@ -75,7 +75,7 @@
 			report("has no name")
 		}
 		if _, duplicate := a.byName[account.Name]; duplicate {
-			report("stands there twice")
+			report("duplicate account name")
 		}
 		if !validAllowance(account.Allowance) {
 			report("has an allowance that is negative or not finite")
@@ -86,7 +86,7 @@
 			case key == "":
 				report(fmt.Sprintf("key %d is empty", n))
 			case used && owner != account.Name:
-				report(fmt.Sprintf("key %d is also that of %s", n, owner))
+				report(fmt.Sprintf("key %d is already used by account %s", n, owner))
 			}
 			a.byKey[key] = account.Name
 		}
--- a/pkg/gateway/settings.go
+++ b/pkg/gateway/settings.go
@@ -108,7 +108,7 @@
 		c.add("limits.link_mbps", "must not be negative")
 	}
 	if s.Limits.CPUShare < 0 || s.Limits.CPUShare > 1 {
-		c.add("limits.cpu_share", "must be a part between 0 and 1")
+		c.add("limits.cpu_share", "must be a fraction between 0 and 1")
 	}
 	c.positive("timing.lease", s.Timing.Lease)
 	c.positive("timing.drain", s.Timing.Drain)
@@ -146,7 +146,7 @@
 	case err != nil:
 		c.add(field, err.Error())
 	case net.ParseIP(host) == nil:
-		c.add(field, "needs an IP number and a port")
+		c.add(field, "must be an IP address with a port")
 	}
 }
 
--- a/pkg/yamlx/yamlx.go
+++ b/pkg/yamlx/yamlx.go
@@ -152,7 +152,7 @@
 	for _, p := range pairs {
 		token := p.Key.GetToken()
 		if seen[token.Value] {
-			d.add(joinPath(field, token.Value), token.Position.Line, "given twice")
+			d.add(joinPath(field, token.Value), token.Position.Line, "duplicate field")
 			continue
 		}
 		seen[token.Value] = true
