--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -94,9 +94,9 @@
 	Ran []string `json:"ran"`
 	// PeakMB is the peak memory usage of all replicas.
 	PeakMB int64 `json:"peak_mb"`
-	// Peak is the peak number of replicas of each model.
-	Peak  map[string]int `json:"peak"`
-	Loads int            `json:"loads"`
+	// PeakReplicas is the peak number of replicas of each model.
+	PeakReplicas map[string]int `json:"peak"`
+	Loads        int            `json:"loads"`
 }
 
 // Activity returns the activity of the engine so far.
--- a/internal/standin/site/endpoint.go
+++ b/internal/standin/site/endpoint.go
@@ -150,9 +150,9 @@
 	e.rate = rate
 }
 
-// SetLeavingHeader makes all responses announce that the endpoint is draining, without updating its
+// SetDrainingHeader makes all responses announce that the endpoint is draining, without updating its
 // entry in the store.
-func (e *Endpoint) SetLeavingHeader() {
+func (e *Endpoint) SetDrainingHeader() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leavingHeader = true
--- a/pkg/fleet/directory.go
+++ b/pkg/fleet/directory.go
@@ -313,8 +313,8 @@
 	Endpoint
 	// Offset is the offset of the entry in the list; a greater offset is newer.
 	Offset int64
-	// Changed is when this host received the entry.
-	Changed time.Time
+	// ReceivedAt is when this host received the entry.
+	ReceivedAt time.Time
 }
 
 // Live returns the endpoints that are not gone, including draining ones, ordered by ID.
@@ -327,7 +327,7 @@
 		if e.gone {
 			continue
 		}
-		views = append(views, View{Endpoint: e.Endpoint, Offset: e.offset, Changed: e.changed})
+		views = append(views, View{Endpoint: e.Endpoint, Offset: e.offset, ReceivedAt: e.changed})
 	}
 	slices.SortFunc(views, func(a, b View) int {
 		if a.ID < b.ID {
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -145,7 +145,7 @@
 		}
 		return
 	}
-	g.election.ClaimAppended(g.Now(), claimToken(offset))
+	g.election.RecordClaimAppended(g.Now(), claimToken(offset))
 	g.log.Info("claim won", "token", claimToken(offset))
 	trySend(g.stepNow)
 }
@@ -175,7 +175,7 @@
 		g.applyClaim(e)
 	}
 	g.mesh.advanceClaimsOffset(batch.Next)
-	g.election.CaughtUp()
+	g.election.RecordCaughtUp()
 }
 
 // releaseClaim releases the claim on shutdown so that another host can claim at once. While the
--- a/pkg/gateway/follow.go
+++ b/pkg/gateway/follow.go
@@ -377,7 +377,7 @@
 			g.applyClaim(e)
 		}
 		g.mesh.advanceClaimsOffset(b.Next)
-		g.election.CaughtUp()
+		g.election.RecordCaughtUp()
 	}
 	g.follower(fleet.TopicClaims, apply, apply).Run(ctx)
 }
--- a/pkg/gateway/signals_test.go
+++ b/pkg/gateway/signals_test.go
@@ -70,7 +70,7 @@
 	d.startEndpoint(site.EndpointConfig{ID: "p2", Service: "plain", Zone: "zone-a", Slots: 50})
 	h := d.startHost("a")
 	h.storeListener.SetFault(site.FaultNoResponse)
-	draining.SetLeavingHeader()
+	draining.SetDrainingHeader()
 	send := func() { is.Equal(d.request(h, "/screen/", "").status, http.StatusOK) }
 	d.waitFor("a response announces that the endpoint is draining", func() bool {
 		send()
--- a/pkg/gateway/stamp_test.go
+++ b/pkg/gateway/stamp_test.go
@@ -31,7 +31,7 @@
 				g := relayHost()
 				g.lease = orders.NewHolderLease(time.Second)
 				g.controller = &orders.Controller{Election: g.election}
-				g.election.ClaimAppended(g.Now(), 1)
+				g.election.RecordClaimAppended(g.Now(), 1)
 				time.Sleep(2 * time.Second)
 				now := g.Now()
 				heartbeat := func(host string, ago time.Duration, token int64) fleet.ControllerHeartbeat {
@@ -60,7 +60,7 @@
 	is.Equal(g.controllerHeartbeat(g.Now()).Stamp, int64(0))
 
 	g.controller = &orders.Controller{Election: g.election}
-	g.election.ClaimAppended(g.Now(), 3)
+	g.election.RecordClaimAppended(g.Now(), 3)
 	p := pullFrom("h", 1, "")
 	p.Heartbeat = fleet.ControllerHeartbeat{Host: "h", Token: 3}
 	g.recordDemand(g.Now(), p)
--- a/pkg/orders/claim.go
+++ b/pkg/orders/claim.go
@@ -111,8 +111,8 @@
 	return c.Holder.Host == e.self.Host && c.Holder.Incarnation == e.self.Incarnation && !c.Holder.Released
 }
 
-// CaughtUp records that all claims in the store were read.
-func (e *Election) CaughtUp() {
+// RecordCaughtUp records that all claims in the store were read.
+func (e *Election) RecordCaughtUp() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.synced = true
@@ -193,8 +193,8 @@
 	}
 }
 
-// ClaimAppended records that this host's claim was appended.
-func (e *Election) ClaimAppended(now time.Time, token int64) {
+// RecordClaimAppended records that this host's claim was appended.
+func (e *Election) RecordClaimAppended(now time.Time, token int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.acceptClaim(now, token)
--- a/pkg/orders/claim_test.go
+++ b/pkg/orders/claim_test.go
@@ -31,7 +31,7 @@
 	e.RecordHeartbeat(at(time.Second), 1)
 	is.True(!e.ShouldClaim(at(2 * time.Second))) // last heartbeat one second ago
 	is.True(e.ShouldClaim(at(2500 * time.Millisecond)))
-	e.ClaimAppended(at(2500*time.Millisecond), 2)
+	e.RecordClaimAppended(at(2500*time.Millisecond), 2)
 	is.Equal(e.OrderToken(at(3900*time.Millisecond)), int64(0))
 	is.Equal(e.OrderToken(at(4*time.Second)), int64(2))
 }
@@ -44,7 +44,7 @@
 	released.Released = true
 	e.Observe(at(0), orders.Claim{Holder: released, Token: 5})
 	is.True(e.ShouldClaim(at(0)))
-	e.ClaimAppended(at(0), 6)
+	e.RecordClaimAppended(at(0), 6)
 	is.Equal(e.OrderToken(at(0)), int64(6))
 }
 
@@ -58,7 +58,7 @@
 	is.True(!e.ShouldClaim(at(500 * time.Millisecond)))
 	e.RecordRestart("a", "a-2")
 	is.True(e.ShouldClaim(at(time.Second)))
-	e.ClaimAppended(at(time.Second), 6)
+	e.RecordClaimAppended(at(time.Second), 6)
 	is.Equal(e.OrderToken(at(time.Second)), int64(6))
 	// The same incarnation is still the holder.
 	f := election("b")
@@ -73,7 +73,7 @@
 	is := is.New(t)
 	e := election("b")
 	is.True(!e.ShouldClaim(at(time.Minute)))
-	e.CaughtUp()
+	e.RecordCaughtUp()
 	is.True(e.ShouldClaim(at(time.Minute)))
 }
 
@@ -82,14 +82,14 @@
 func TestSuspendedHolderConfirmsClaim(t *testing.T) {
 	is := is.New(t)
 	e := election("a")
-	e.CaughtUp()
-	e.ClaimAppended(at(0), 1)
+	e.RecordCaughtUp()
+	e.RecordClaimAppended(at(0), 1)
 	e.CheckSuspend(time.Second)
 	is.Equal(e.OrderToken(at(time.Second)), int64(1))
 	is.True(e.CheckSuspend(6 * time.Second)) // suspended for five seconds
 	is.Equal(e.OrderToken(at(time.Second)), int64(0))
 	e.Observe(at(time.Second), orders.Claim{Holder: holder("b"), Token: 2})
-	e.CaughtUp()
+	e.RecordCaughtUp()
 	is.Equal(e.OrderToken(at(time.Minute)), int64(0))
 	is.Equal(e.HeldToken(), int64(0))
 }
@@ -99,11 +99,11 @@
 func TestFencedTokenIsNotReused(t *testing.T) {
 	is := is.New(t)
 	e := election("a")
-	e.CaughtUp()
-	e.ClaimAppended(at(0), 7)
+	e.RecordCaughtUp()
+	e.RecordClaimAppended(at(0), 7)
 	e.Relinquish(7)
 	e.Observe(at(time.Second), orders.Claim{Holder: holder("a"), Token: 7})
-	e.CaughtUp()
+	e.RecordCaughtUp()
 	is.Equal(e.OrderToken(at(time.Minute)), int64(0))
 }
 
@@ -112,10 +112,10 @@
 func TestOwnClaimIsRecognized(t *testing.T) {
 	is := is.New(t)
 	e := election("a")
-	e.CaughtUp()
+	e.RecordCaughtUp()
 	is.True(e.ShouldClaim(at(0)))
 	e.Observe(at(100*time.Millisecond), orders.Claim{Holder: holder("a"), Token: 3})
-	e.ClaimAppended(at(200*time.Millisecond), 3)
+	e.RecordClaimAppended(at(200*time.Millisecond), 3)
 	is.Equal(e.OrderToken(at(200*time.Millisecond)), int64(3))
 	is.True(!e.ShouldClaim(at(time.Minute)))
 }
@@ -141,12 +141,12 @@
 				for ; read[i] < len(log); read[i]++ {
 					hosts[i].Observe(now, log[read[i]])
 				}
-				hosts[i].CaughtUp()
+				hosts[i].RecordCaughtUp()
 			case 1: // claim at the end of the claims
 				if hosts[i].ShouldClaim(now) && read[i] == len(log) {
 					c := orders.Claim{Holder: holder(names[i]), Token: int64(len(log) + 1)}
 					log = append(log, c)
-					hosts[i].ClaimAppended(now, c.Token)
+					hosts[i].RecordClaimAppended(now, c.Token)
 				}
 			case 2:
 				if len(log) > 0 {
--- a/pkg/orders/controller_test.go
+++ b/pkg/orders/controller_test.go
@@ -34,8 +34,8 @@
 // endpoint, which lists the given models.
 func newController(e *engine, token int64, listed ...string) *orders.Controller {
 	el := orders.NewElection(holder("a"), lease, 0, time.Now())
-	el.CaughtUp()
-	el.ClaimAppended(time.Now(), token)
+	el.RecordCaughtUp()
+	el.RecordClaimAppended(time.Now(), token)
 	cfg := config()
 	endpoint := fleet.Endpoint{ID: "e", Service: "llm", OnDisk: []string{"cold", "x", "y", "big"}}
 	for _, m := range listed {
--- a/pkg/orders/holderlease_test.go
+++ b/pkg/orders/holderlease_test.go
@@ -131,7 +131,7 @@
 		if h.storeReachable {
 			h.storeRead = w.now
 			h.election.Observe(w.now, w.claim)
-			h.election.CaughtUp()
+			h.election.RecordCaughtUp()
 		}
 		if h.election.ShouldClaim(w.now) && (h.election.Vacant() || !w.otherHostHasHeartbeat(h)) {
 			w.claimNow(h)
@@ -161,7 +161,7 @@
 		return
 	}
 	w.claim = orders.Claim{Holder: holder(h.name), Token: w.claim.Token + 1}
-	h.election.ClaimAppended(w.now, w.claim.Token)
+	h.election.RecordClaimAppended(w.now, w.claim.Token)
 }
 
 func (w *leaseSimulation) notice(h *leaseHost) {
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -85,8 +85,8 @@
 	LoadSlots int
 }
 
-// Place is a decision to load a model on an endpoint.
-type Place struct {
+// Placement is a decision to load a model on an endpoint.
+type Placement struct {
 	Customer string
 	Model    string
 	Endpoint string
@@ -94,7 +94,7 @@
 
 // Actions are the decisions for one snapshot.
 type Actions struct {
-	Places  []Place
+	Places  []Placement
 	Retires []record.ReplicaID
 }
 
@@ -304,7 +304,7 @@
 	d.loadSlots--
 	d.active[modelKey{m.Customer, m.Name}]++
 	d.reserved[modelKey{m.Customer, m.Name}]++
-	d.out.Places = append(d.out.Places, Place{Customer: m.Customer, Model: m.Name, Endpoint: d.endpoints[i].Name})
+	d.out.Places = append(d.out.Places, Placement{Customer: m.Customer, Model: m.Name, Endpoint: d.endpoints[i].Name})
 	return true
 }
 
