--- a/pkg/external/httpadapter/adapter_test.go
+++ b/pkg/external/httpadapter/adapter_test.go
@@ -118,8 +118,8 @@
 // complete response.
 func TestBrokenStreamsReturnErrBroken(t *testing.T) {
 	for name, fault := range map[string]standin.EngineFaults{
-		"crossed": {MislabelTokens: true},
-		"cut":     {TruncateAfter: 2},
+		"mislabeled tokens": {MislabelTokens: true},
+		"truncated stream":  {TruncateAfter: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
